--- a/hornbeamramp/fleet/__init__.py
+++ b/hornbeamramp/fleet/__init__.py
@@ -4,8 +4,8 @@
 from hornbeamramp.fleet.base import (
     EndedRun,
     HoldReply,
-    HowEnded,
     RunningRun,
+    RunOutcome,
     StartOrder,
     StartReply,
     WorkerClient,
@@ -19,7 +19,7 @@
     "AttemptPhase",
     "EndedRun",
     "HoldReply",
-    "HowEnded",
+    "RunOutcome",
     "RunningRun",
     "SessionOwner",
     "StartOrder",
--- a/hornbeamramp/fleet/base.py
+++ b/hornbeamramp/fleet/base.py
@@ -14,7 +14,7 @@
 __all__ = [
     "EndedRun",
     "HoldReply",
-    "HowEnded",
+    "RunOutcome",
     "RunningRun",
     "StartOrder",
     "StartReply",
@@ -24,7 +24,7 @@
 ]
 
 
-class HowEnded(Enum):
+class RunOutcome(Enum):
     """How a run of a task ended. LOST is never reported: the worker no longer knows the run."""
 
     DONE = "done"
@@ -46,12 +46,12 @@
     NO_ROOM = "no_room"
     TICKET_INVALID = "ticket_invalid"
     UNHEALTHY = "unhealthy"
-    OTHER_BOOT = "other_boot"
+    INSTANCE_MISMATCH = "other_boot"
     INVALID = "invalid"
 
 
 class WorkerListing(msgspec.Struct, frozen=True):
-    """What a worker says of itself in the list of workers. ``born_ms`` tells its boots apart."""
+    """What a worker says of itself in the list of workers. ``boot_ms`` tells its boots apart."""
 
     worker: UpstreamId
     pool: PoolName
@@ -60,7 +60,7 @@
     draining: bool
     capacity: Resources
     labels: tuple[str, ...] = ()
-    born_ms: int = 0
+    boot_ms: int = 0
     drain_remaining: timedelta | None = None
 
     @property
@@ -97,7 +97,7 @@
     number: int
     task: str
     run: int
-    how: HowEnded
+    outcome: RunOutcome
     checkpoint: str
 
 
@@ -105,7 +105,7 @@
     """All that runs on a worker, and the ends that it has not been told to forget."""
 
     clock_ms: int
-    born_ms: int
+    boot_ms: int
     running: tuple[RunningRun, ...]
     ended: tuple[EndedRun, ...]
 
@@ -118,14 +118,14 @@
     """The worker has seen a higher fencing token."""
 
 
-class OtherBootError(Exception):
+class InstanceMismatchError(Exception):
     """Another worker answers at the address."""
 
 
 class WorkerClient(ABC):
     """Orders to workers. Each method raises `WorkerUnreachableError` if there is no answer,
-    `FencedError` and `OtherBootError`; ``check`` is called right before an order is sent, which is
-    not sent if it returns false."""
+    `FencedError` and `InstanceMismatchError`; ``check`` is called right before an order is sent,
+    which is not sent if it returns false."""
 
     @abstractmethod
     async def start(
--- a/hornbeamramp/fleet/session.py
+++ b/hornbeamramp/fleet/session.py
@@ -16,9 +16,9 @@
 from hornbeamramp.fleet.base import (
     FencedError,
     HoldReply,
-    HowEnded,
-    OtherBootError,
+    InstanceMismatchError,
     RunningRun,
+    RunOutcome,
     StartOrder,
     StartReply,
     WorkerClient,
@@ -63,9 +63,9 @@
 
     def on_running(self, attempt: Attempt) -> None: ...
 
-    def on_ended(self, attempt: Attempt, how: HowEnded, checkpoint: str) -> None: ...
+    def on_ended(self, attempt: Attempt, how: RunOutcome, checkpoint: str) -> None: ...
 
-    def on_room(self, session: "WorkerSession") -> None: ...
+    def on_capacity_change(self, session: "WorkerSession") -> None: ...
 
     def on_fenced(self, session: "WorkerSession") -> None: ...
 
@@ -217,7 +217,7 @@
         asked_at = self._clock.boot_time() + timedelta.resolution
         try:
             reply = await self._client.hold(self.listing, self._owner.token, 0, None, timedelta(0))
-        except (WorkerUnreachableError, FencedError, OtherBootError) as error:
+        except (WorkerUnreachableError, FencedError, InstanceMismatchError) as error:
             _log.info("{}: no list after a stop: {!r}", self.worker, error)
             return
         self._apply(reply, asked_at, False)
@@ -237,7 +237,7 @@
             return False
         except FencedError:
             self._owner.on_fenced(self)
-        except OtherBootError:
+        except InstanceMismatchError:
             self._on_other_boot()
         return True
 
@@ -263,7 +263,7 @@
             attempt.pace_percent = -1
         except FencedError:
             self._owner.on_fenced(self)
-        except OtherBootError:
+        except InstanceMismatchError:
             self._on_other_boot()
 
     # The lease loop
@@ -305,7 +305,7 @@
         except FencedError:
             self._owner.on_fenced(self)
             return False
-        except OtherBootError:
+        except InstanceMismatchError:
             self._on_other_boot()
             return False
         self._told = max(self._told, forgettable)
@@ -341,12 +341,12 @@
             return
         self._listed_at = asked_at
         now = self._clock.boot_time()
-        if self._born_ms is not None and reply.born_ms != self._born_ms:
+        if self._born_ms is not None and reply.boot_ms != self._born_ms:
             self._on_reborn(reply)
-        self._born_ms = reply.born_ms
+        self._born_ms = reply.boot_ms
         self._clock_ms, self._clock_at = reply.clock_ms, now
         if not self.reachable:
-            _log.info("worker {} is in contact, born {}", self.worker, reply.born_ms)
+            _log.info("worker {} is in contact, born {}", self.worker, reply.boot_ms)
         self.reachable, self.failures_in_row = True, 0
         for row in reply.running:
             self._apply_running(row, now)
@@ -359,10 +359,10 @@
             self.stray_by_key.pop((end.task, end.run), None)
             attempt = self.attempt_by_key.get((end.task, end.run))
             if attempt is not None:
-                self._end(attempt, end.how, end.checkpoint)
+                self._end(attempt, end.outcome, end.checkpoint)
         self._end_missing(reply, asked_at, first)
         if had_ends or first:
-            self._owner.on_room(self)
+            self._owner.on_capacity_change(self)
 
     def _apply_running(self, row: RunningRun, now: timedelta) -> None:
         attempt = self.attempt_by_key.get((row.task, row.run))
@@ -394,18 +394,18 @@
             # The first list follows the fence, so no earlier owner's order can take effect after.
             fenced_off = first and attempt.phase is AttemptPhase.UNCERTAIN
             if fenced_off or (attempt.confirmed_at is not None and attempt.confirmed_at < asked_at):
-                self._end(attempt, HowEnded.LOST, attempt.checkpoint)
+                self._end(attempt, RunOutcome.LOST, attempt.checkpoint)
         for key, answered_at in list(self.stray_by_key.items()):
             if key not in listed and answered_at < asked_at:
                 del self.stray_by_key[key]
 
-    def _end(self, attempt: Attempt, how: HowEnded, checkpoint: str) -> None:
+    def _end(self, attempt: Attempt, how: RunOutcome, checkpoint: str) -> None:
         self.release(attempt)
         self._owner.on_ended(attempt, how, checkpoint or attempt.checkpoint)
 
     def _on_reborn(self, reply: HoldReply) -> None:
         """The worker has started anew: nothing of before runs there, and its counts start at 0."""
-        _log.warning("worker {} was reborn at {}", self.worker, reply.born_ms)
+        _log.warning("worker {} was reborn at {}", self.worker, reply.boot_ms)
         self._last_seen = self._handled = self._told = 0
         # An order on its way named a time on the old boot's clock, which may give the longest lease
         # on the new one.
@@ -418,12 +418,12 @@
             if attempt.phase in (AttemptPhase.ORDERED, AttemptPhase.UNCERTAIN):
                 # The order may still be on its way, and the new boot knows nothing of run numbers.
                 self._stray(*key)
-            self._end(attempt, HowEnded.LOST, attempt.checkpoint)
+            self._end(attempt, RunOutcome.LOST, attempt.checkpoint)
 
     def _on_other_boot(self) -> None:
         """Another worker has the address, so this one has ended."""
         self.reachable = self.is_listed = False
-        self._end_all(HowEnded.LOST)
+        self._end_all(RunOutcome.LOST)
 
     def _end_lapsed(self) -> None:
         """Ends all runs once their lease has run out for certain."""
@@ -437,9 +437,9 @@
             has_lapsed = self._clock_ms + elapsed_ms > self._longest_deadline_ms
         if has_lapsed:
             self.reachable = False
-            self._end_all(HowEnded.LAPSED)
+            self._end_all(RunOutcome.LAPSED)
 
-    def _end_all(self, how: HowEnded) -> None:
+    def _end_all(self, how: RunOutcome) -> None:
         for attempt in list(self.attempt_by_key.values()):
             if attempt.phase is not AttemptPhase.RESERVED:
                 self._end(attempt, how, attempt.checkpoint)
--- a/hornbeamramp/platform/decoding.py
+++ b/hornbeamramp/platform/decoding.py
@@ -202,7 +202,7 @@
             draining=wire.state == "draining",
             capacity=Resources(wire.capacity.cpu, wire.capacity.mem_mb, wire.capacity.gpu, 0, 0),
             labels=tuple(wire.labels),
-            born_ms=wire.born,
+            boot_ms=wire.born,
             drain_remaining=None if remaining is None else _milliseconds(remaining),
         )
     )
--- a/hornbeamramp/platform/workers.py
+++ b/hornbeamramp/platform/workers.py
@@ -11,15 +11,15 @@
 from hornbeamramp.fleet import (
     EndedRun,
     HoldReply,
-    HowEnded,
     RunningRun,
+    RunOutcome,
     StartOrder,
     StartReply,
     WorkerClient,
     WorkerListing,
     WorkerUnreachableError,
 )
-from hornbeamramp.fleet.base import FencedError, OtherBootError
+from hornbeamramp.fleet.base import FencedError, InstanceMismatchError
 from hornbeamramp.http_client import HttpClient, HttpReply, RequestFailedError
 from hornbeamramp.states import Step
 
@@ -29,14 +29,14 @@
 CALL_TIMEOUT = timedelta(milliseconds=300)
 
 HOW_BY_WORD = {
-    "done": HowEnded.DONE,
-    "failed": HowEnded.FAILED,
-    "stopped": HowEnded.STOPPED,
-    "lapsed": HowEnded.LAPSED,
+    "done": RunOutcome.DONE,
+    "failed": RunOutcome.FAILED,
+    "stopped": RunOutcome.STOPPED,
+    "lapsed": RunOutcome.LAPSED,
     # Another member of the gang ended.
-    "broken": HowEnded.GANG_BROKEN,
+    "broken": RunOutcome.GANG_BROKEN,
     # The other members did not come in time.
-    "alone": HowEnded.GANG_INCOMPLETE,
+    "alone": RunOutcome.GANG_INCOMPLETE,
 }
 
 REFUSAL_BY_REASON = {
@@ -70,7 +70,7 @@
 def _ended(row: list[Any]) -> EndedRun:
     number, task, run, how, checkpoint = row
     # An unknown word still means that the run has ended, without an answer.
-    return EndedRun(number, task, run, HOW_BY_WORD.get(how, HowEnded.LOST), checkpoint or "")
+    return EndedRun(number, task, run, HOW_BY_WORD.get(how, RunOutcome.LOST), checkpoint or "")
 
 
 class PlatformWorkers(WorkerClient):
@@ -176,7 +176,7 @@
                 Step.RUN, worker.worker, f"{path}: {error}", error.sent
             ) from error
         if reply.status == 421:
-            raise OtherBootError(worker.worker)
+            raise InstanceMismatchError(worker.worker)
         return reply
 
 
--- a/hornbeamramp/poolowner/health.py
+++ b/hornbeamramp/poolowner/health.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterable
 from datetime import timedelta
 
-from hornbeamramp.fleet import Attempt, AttemptPhase, HowEnded, WorkerSession
+from hornbeamramp.fleet import Attempt, AttemptPhase, RunOutcome, WorkerSession
 from hornbeamramp.ids import JobId, UpstreamId
 
 __all__ = ["WorkerHealth", "stalled"]
@@ -31,13 +31,13 @@
         self._pause_by_worker: dict[UpstreamId, timedelta] = {}
         self._aside_until: dict[UpstreamId, timedelta] = {}
 
-    def note_end(self, attempt: Attempt, how: HowEnded, now: timedelta) -> None:
+    def note_end(self, attempt: Attempt, how: RunOutcome, now: timedelta) -> None:
         """Notes how a run ended; only successes and failures say something of the worker."""
         worker = UpstreamId(attempt.session.worker)
-        if how is HowEnded.DONE:
+        if how is RunOutcome.DONE:
             self._failing_jobs.pop(worker, None)
             self._pause_by_worker.pop(worker, None)
-        elif how is HowEnded.FAILED:
+        elif how is RunOutcome.FAILED:
             jobs = self._failing_jobs.setdefault(worker, set())
             jobs.add(attempt.task.unit.step.key.job_id)
             if len(jobs) >= FAILING_JOBS:
--- a/hornbeamramp/poolowner/launch.py
+++ b/hornbeamramp/poolowner/launch.py
@@ -9,7 +9,7 @@
 from hornbeamramp import instruments
 from hornbeamramp.clock import Clock
 from hornbeamramp.fleet import Attempt, AttemptPhase, StartOrder, StartReply, WorkerSession
-from hornbeamramp.fleet.base import FencedError, OtherBootError
+from hornbeamramp.fleet.base import FencedError, InstanceMismatchError
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.poolowner.advice import (
     START_MARGIN,
@@ -233,8 +233,8 @@
         except FencedError:
             self._owner.on_fenced(session)
             return StartReply.FENCED
-        except OtherBootError:
-            reply = StartReply.OTHER_BOOT
+        except InstanceMismatchError:
+            reply = StartReply.INSTANCE_MISMATCH
         instruments.starts.add(1, {"reply": "no_answer" if reply is None else reply.value})
         if reply is StartReply.STARTED:
             self._owner.lifecycle.note_started(step.job)
--- a/hornbeamramp/poolowner/lifecycle.py
+++ b/hornbeamramp/poolowner/lifecycle.py
@@ -5,7 +5,7 @@
 import logbook
 
 from hornbeamramp import instruments
-from hornbeamramp.fleet import Attempt, AttemptPhase, HowEnded
+from hornbeamramp.fleet import Attempt, AttemptPhase, RunOutcome
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.poolowner.jobs import Job, Task, Unit
 from hornbeamramp.poolowner.journal import Journal
@@ -52,7 +52,7 @@
             waited = (self._owner.now_ms() - job.record.accepted_ms) / 1000
             instruments.first_start_time.record(waited, {"queue": job.record.queue})
 
-    def apply_end(self, attempt: Attempt, how: HowEnded, checkpoint: str) -> None:
+    def apply_end(self, attempt: Attempt, how: RunOutcome, checkpoint: str) -> None:
         """Applies the end of a run."""
         task: Task = attempt.task
         unit = task.unit
@@ -65,15 +65,15 @@
             return
         if checkpoint:
             unit.checkpoint = checkpoint
-        if how is HowEnded.DONE and not unit.step.spec.long_running:
+        if how is RunOutcome.DONE and not unit.step.spec.long_running:
             # One member's end stands for the whole gang.
             for member in unit.tasks:
                 member.is_done = True
-        elif how is HowEnded.FAILED:
+        elif how is RunOutcome.FAILED:
             _note_failure(unit, attempt)
-        elif how in (HowEnded.LAPSED, HowEnded.LOST):
+        elif how in (RunOutcome.LAPSED, RunOutcome.LOST):
             unit.avoid.add(UpstreamId(attempt.session.worker))
-        if how is not HowEnded.DONE:
+        if how is not RunOutcome.DONE:
             _log.info(
                 "{} run {} on {} ended {} at {}%, failures {}",
                 task.name,
--- a/hornbeamramp/poolowner/owner.py
+++ b/hornbeamramp/poolowner/owner.py
@@ -21,7 +21,7 @@
 from hornbeamramp.fleet import (
     Attempt,
     AttemptPhase,
-    HowEnded,
+    RunOutcome,
     WorkerClient,
     WorkerListing,
     WorkerSession,
@@ -232,7 +232,7 @@
         else:
             self.lifecycle.note_started(job)
 
-    def on_room(self, session: WorkerSession) -> None:
+    def on_capacity_change(self, session: WorkerSession) -> None:
         self._wake.set()
 
     def on_fenced(self, session: WorkerSession) -> None:
@@ -245,7 +245,7 @@
             # The ends stay listed for the next owner.
             raise TimeoutError(str(error)) from error
 
-    def on_ended(self, attempt: Attempt, how: HowEnded, checkpoint: str) -> None:
+    def on_ended(self, attempt: Attempt, how: RunOutcome, checkpoint: str) -> None:
         self.lifecycle.apply_end(attempt, how, checkpoint)
 
     # Callers
--- a/hornbeamramp/poolowner/placer.py
+++ b/hornbeamramp/poolowner/placer.py
@@ -10,7 +10,7 @@
 
 from hornbeamramp import instruments
 from hornbeamramp.clock import Clock
-from hornbeamramp.fleet import Attempt, HowEnded, WorkerSession
+from hornbeamramp.fleet import Attempt, RunOutcome, WorkerSession
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.poolowner.choice import choose_workers, could_all_run, could_ever_run
 from hornbeamramp.poolowner.health import WorkerHealth
@@ -67,7 +67,7 @@
         if unit.step not in self._open_steps:
             self._open_steps.append(unit.step)
 
-    def note_end(self, attempt: Attempt, how: HowEnded) -> None:
+    def note_end(self, attempt: Attempt, how: RunOutcome) -> None:
         """Learns from the end of a run."""
         now = self._clock.boot_time()
         worker = UpstreamId(attempt.session.worker)
@@ -75,7 +75,7 @@
         self.health.note_end(attempt, how, now)
         if self.health.is_aside(worker, now) and not was_aside:
             _log.warning("worker {} fails task after task; set aside", worker)
-        if how is HowEnded.DONE and attempt.started_at is not None and not attempt.resumed:
+        if how is RunOutcome.DONE and attempt.started_at is not None and not attempt.resumed:
             self.speeds.note(attempt, (now - attempt.started_at).total_seconds(), 1.0)
 
     def forget(self, worker: UpstreamId) -> None:
--- a/tests/fleet/test_session.py
+++ b/tests/fleet/test_session.py
@@ -6,7 +6,7 @@
 import logbook
 
 from hornbeamramp.background import BackgroundTasks
-from hornbeamramp.fleet import Attempt, HowEnded, StartOrder, WorkerListing, WorkerSession
+from hornbeamramp.fleet import Attempt, RunOutcome, StartOrder, WorkerListing, WorkerSession
 from hornbeamramp.ids import JobId
 from hornbeamramp.resources import Resources
 from hornbeamramp.workload import StepSpec
@@ -39,7 +39,7 @@
     def on_ended(self, attempt, how, checkpoint):
         self.ended.append((attempt.name, how))
 
-    def on_room(self, session):
+    def on_capacity_change(self, session):
         pass
 
     def on_fenced(self, session):
@@ -104,7 +104,7 @@
         assert bench.session.free() == (7000, 7900, 4)
         await asyncio.sleep(0.5)
         assert bench.session.free() == (8000, 8000, 4)
-        assert bench.owner.ended == [(attempt.name, HowEnded.STOPPED)]
+        assert bench.owner.ended == [(attempt.name, RunOutcome.STOPPED)]
 
     on_bench(scenario)
 
@@ -128,7 +128,7 @@
         await asyncio.sleep(4.0)
         assert bench.owner.ended == []
         await asyncio.sleep(6.0)
-        assert [how for _, how in bench.owner.ended] == [HowEnded.LAPSED]
+        assert [how for _, how in bench.owner.ended] == [RunOutcome.LAPSED]
         assert bench.worker.run_by_task == {}
 
     on_bench(scenario)
@@ -157,7 +157,7 @@
         await asyncio.sleep(1.0)
         bench.owner.extends = True
         await asyncio.sleep(3.0)
-        assert bench.owner.ended == [(attempt.name, HowEnded.STOPPED)]
+        assert bench.owner.ended == [(attempt.name, RunOutcome.STOPPED)]
 
     on_bench(scenario)
 
@@ -179,7 +179,7 @@
         bench.worker.crash()
         bench.worker.rebirth()
         await asyncio.sleep(4.0)
-        assert bench.owner.ended == [(attempt.name, HowEnded.LOST)]
+        assert bench.owner.ended == [(attempt.name, RunOutcome.LOST)]
 
     on_bench(scenario)
 
@@ -195,7 +195,7 @@
         attempt = bench.attempt()
         await bench.start(attempt)
         await asyncio.sleep(4.0)
-        assert bench.owner.ended == [(attempt.name, HowEnded.DONE)]
+        assert bench.owner.ended == [(attempt.name, RunOutcome.DONE)]
 
     on_bench(scenario)
 
@@ -211,7 +211,7 @@
         bench.view.late_share = 0.0
         bench.session.stop(attempt)
         await asyncio.sleep(0.1)
-        assert bench.owner.ended == [(attempt.name, HowEnded.LOST)]
+        assert bench.owner.ended == [(attempt.name, RunOutcome.LOST)]
         await asyncio.sleep(13.0)
         assert bench.fleet.starts == []
 
@@ -233,7 +233,7 @@
         attempt = bench.attempt(5)
         await bench.start(attempt)
         await asyncio.sleep(4.0)
-        assert bench.owner.ended[-1] == (attempt.name, HowEnded.DONE)
+        assert bench.owner.ended[-1] == (attempt.name, RunOutcome.DONE)
 
     on_bench(scenario)
 
@@ -288,6 +288,6 @@
         slow_records(bench, 1000.0)
         await run_many(bench, 600)
         await asyncio.sleep(5.0)
-        assert all(how is HowEnded.DONE for _, how in bench.owner.ended)
+        assert all(how is RunOutcome.DONE for _, how in bench.owner.ended)
 
     on_bench(scenario)
--- a/tests/model/cell.py
+++ b/tests/model/cell.py
@@ -283,7 +283,7 @@
             draining=draining,
             capacity=worker.capacity,
             labels=("a", rack),
-            born_ms=worker.born_ms,
+            boot_ms=worker.boot_ms,
         )
         self.store.put(f"{WORKER_PREFIX}{name}", msgspec.msgpack.encode(listing))
 
--- a/tests/model/fleet.py
+++ b/tests/model/fleet.py
@@ -11,15 +11,15 @@
 from hornbeamramp.fleet import (
     EndedRun,
     HoldReply,
-    HowEnded,
     RunningRun,
+    RunOutcome,
     StartOrder,
     StartReply,
     WorkerClient,
     WorkerListing,
     WorkerUnreachableError,
 )
-from hornbeamramp.fleet.base import FencedError, OtherBootError
+from hornbeamramp.fleet.base import FencedError, InstanceMismatchError
 from hornbeamramp.ids import JobId
 from hornbeamramp.resources import Resources
 from hornbeamramp.states import Step
@@ -70,7 +70,7 @@
         self.lease_timer: asyncio.TimerHandle | None = None
 
     @property
-    def born_ms(self) -> int:
+    def boot_ms(self) -> int:
         return int(self.born.total_seconds() * 1000) + 1
 
     @property
@@ -86,7 +86,7 @@
             if run.timer is not None:
                 run.timer.cancel()
             if run.step.gang:
-                self.fleet.end_gang(run.order, HowEnded.LOST)
+                self.fleet.end_gang(run.order, RunOutcome.LOST)
 
     def rebirth(self) -> None:
         self.is_up = True
@@ -111,7 +111,7 @@
         if self.clock_ms >= self.deadline_ms:
             self.fleet.note_lapse(self)
             for task in list(self.run_by_task):
-                self.end(task, HowEnded.LAPSED)
+                self.end(task, RunOutcome.LAPSED)
 
     def start(self, order: StartOrder) -> StartReply:
         if not self.fence(order.token):
@@ -132,7 +132,7 @@
         self.fleet.judge_room(self)
         if step.gang:
             run.timer = asyncio.get_running_loop().call_later(
-                GANG_TIMEOUT_S, self.end, order.task, HowEnded.GANG_INCOMPLETE
+                GANG_TIMEOUT_S, self.end, order.task, RunOutcome.GANG_INCOMPLETE
             )
             self.fleet.check_gang(order)
         else:
@@ -145,7 +145,7 @@
         if run.timer is not None:
             run.timer.cancel()
         how = self.fleet.how_ends(self, run.order)
-        if run.step.long_running and how is HowEnded.DONE:
+        if run.step.long_running and how is RunOutcome.DONE:
             run.timer = None
             return
         loop = asyncio.get_running_loop()
@@ -160,9 +160,9 @@
         if run.timer is not None:
             run.timer.cancel()
         loop = asyncio.get_running_loop()
-        run.timer = loop.call_later(STOP_S, self.end, task, HowEnded.STOPPED)
+        run.timer = loop.call_later(STOP_S, self.end, task, RunOutcome.STOPPED)
 
-    def end(self, task: str, how: HowEnded) -> None:
+    def end(self, task: str, how: RunOutcome) -> None:
         run = self.run_by_task.pop(task, None)
         if run is None:
             return
@@ -184,7 +184,7 @@
             RunningRun(task, run.order.run, "", self._percent(run))
             for task, run in self.run_by_task.items()
         )
-        return HoldReply(self.clock_ms, self.born_ms, running, tuple(self.ended[:500]))
+        return HoldReply(self.clock_ms, self.boot_ms, running, tuple(self.ended[:500]))
 
     def _percent(self, run: ModelRun) -> float:
         if run.step.long_running:
@@ -210,10 +210,10 @@
 
     at_s: float
     worker: str
-    born_ms: int
+    boot_ms: int
     task: str
     run: int
-    how: HowEnded
+    outcome: RunOutcome
     is_noted: bool = False
     has_lapsed: bool = False
 
@@ -253,8 +253,8 @@
     def duration(self, task: str, step: StepSpec) -> float:
         return step.estimate_ms / 1000 if step.estimate_ms else self.duration_s
 
-    def how_ends(self, worker: ModelWorker, order: StartOrder) -> HowEnded:
-        return HowEnded.FAILED if self.fails(worker.name, order) else HowEnded.DONE
+    def how_ends(self, worker: ModelWorker, order: StartOrder) -> RunOutcome:
+        return RunOutcome.FAILED if self.fails(worker.name, order) else RunOutcome.DONE
 
     # Gangs
 
@@ -273,12 +273,12 @@
             for worker, run in members:
                 worker.work(run)
 
-    def end_gang(self, order: StartOrder, how: HowEnded) -> None:
+    def end_gang(self, order: StartOrder, how: RunOutcome) -> None:
         for worker, run in self._gang(order):
-            if how is HowEnded.DONE:
-                worker.end(run.order.task, HowEnded.DONE)
+            if how is RunOutcome.DONE:
+                worker.end(run.order.task, RunOutcome.DONE)
             elif run.is_working:
-                worker.end(run.order.task, HowEnded.GANG_BROKEN)
+                worker.end(run.order.task, RunOutcome.GANG_BROKEN)
 
     # Judgement
 
@@ -320,23 +320,23 @@
         if any(u > room for u, room in zip(used, limit, strict=True)):
             self._violate("LIMIT", f"{worker.name}: {used} of {limit}")
 
-    def note_end(self, worker: ModelWorker, order: StartOrder, how: HowEnded) -> None:
+    def note_end(self, worker: ModelWorker, order: StartOrder, how: RunOutcome) -> None:
         now = self.clock.boot_time().total_seconds()
-        self.ends.append(SeenEnd(now, worker.name, worker.born_ms, order.task, order.run, how))
+        self.ends.append(SeenEnd(now, worker.name, worker.boot_ms, order.task, order.run, how))
         step = self.step_of(order.task)
-        if how is HowEnded.DONE:
+        if how is RunOutcome.DONE:
             self.done.add(order.task)
-        elif how is HowEnded.FAILED and not step.long_running:
+        elif how is RunOutcome.FAILED and not step.long_running:
             self.failed_by_task[order.task] = self.failed_by_task.get(order.task, 0) + 1
-        elif how is HowEnded.GANG_INCOMPLETE:
+        elif how is RunOutcome.GANG_INCOMPLETE:
             self._violate("GANG", f"{order.task} run {order.run} on {worker.name}")
 
     def note_forgotten(self, worker: ModelWorker, end: EndedRun) -> None:
         """An end counts as noted, unless the worker's lease has lapsed since."""
         for seen in self.ends:
-            is_same = (seen.worker, seen.born_ms, seen.task, seen.run) == (
+            is_same = (seen.worker, seen.boot_ms, seen.task, seen.run) == (
                 worker.name,
-                worker.born_ms,
+                worker.boot_ms,
                 end.task,
                 end.run,
             )
@@ -352,9 +352,9 @@
         """Checks the starts against the ends that were noted then or later."""
         for at, worker, task, run in self.starts:
             noted = [e for e in self.ends if e.is_noted and e.task == task and e.at_s < at]
-            if any(e.how is HowEnded.DONE for e in noted):
+            if any(e.outcome is RunOutcome.DONE for e in noted):
                 self._violate("TWICE", f"{task} run {run} on {worker} at {at}, ended done before")
-            failed = sum(e.how is HowEnded.FAILED for e in noted)
+            failed = sum(e.outcome is RunOutcome.FAILED for e in noted)
             if failed >= self.max_attempts and not self.step_of(task).long_running:
                 self._violate("BUDGET", f"{task} run {run} on {worker} at {at}")
 
@@ -382,9 +382,9 @@
             raise WorkerUnreachableError(Step.START, worker.worker, "not allowed", sent=False)
         # A VM may freeze right after the check, with the order written but not on its way. Its
         # connection does not outlive the worker's boot.
-        born = target.born_ms
+        born = target.boot_ms
         await self._wait_while_frozen()
-        if not target.is_up or target.born_ms != born:
+        if not target.is_up or target.boot_ms != born:
             await self._no_answer(worker)
         if not self._fleet.ticket_valid(order.task, worker.worker, order.ticket):
             return StartReply.TICKET_INVALID
@@ -416,7 +416,7 @@
         if deadline_ms is not None:
             target.extend(deadline_ms)
         target.forget(last_seen)
-        born = target.born_ms
+        born = target.boot_ms
         if wait and not target.ended:
             try:
                 async with asyncio.timeout(wait.total_seconds()):
@@ -424,7 +424,7 @@
             except TimeoutError:
                 pass
         reply = target.hold_reply()
-        if await self._reach(worker) is not target or target.born_ms != born:
+        if await self._reach(worker) is not target or target.boot_ms != born:
             await self._no_answer(worker)
         return reply
 
@@ -434,10 +434,10 @@
         await self._reach(worker)
 
     def _later(self, target: ModelWorker, order: Callable[[], object]) -> None:
-        born = target.born_ms
+        born = target.boot_ms
 
         def carry_out() -> None:
-            if target.is_up and target.born_ms == born:
+            if target.is_up and target.boot_ms == born:
                 order()
 
         asyncio.get_running_loop().call_later(self._random.uniform(2.0, 12.0), carry_out)
@@ -452,7 +452,7 @@
             await self._no_answer(worker)
         assert target is not None
         if target.name != worker.worker:
-            raise OtherBootError(worker.worker)
+            raise InstanceMismatchError(worker.worker)
         return target
 
     async def _wait_while_frozen(self) -> None:
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -7,8 +7,8 @@
 
 from hornbeamramp.clock import SystemClock
 from hornbeamramp.errors import StoreUnavailableError
-from hornbeamramp.fleet import HowEnded, StartOrder, StartReply, WorkerListing
-from hornbeamramp.fleet.base import FencedError, OtherBootError, WorkerUnreachableError
+from hornbeamramp.fleet import RunOutcome, StartOrder, StartReply, WorkerListing
+from hornbeamramp.fleet.base import FencedError, InstanceMismatchError, WorkerUnreachableError
 from hornbeamramp.ids import JobId
 from hornbeamramp.platform.store import PlatformStore
 from hornbeamramp.platform.workers import PlatformWorkers
@@ -137,11 +137,11 @@
         assert await client.start(listing, order(), lambda: True) is StartReply.STARTED
         reply = await client.hold(listing, 5, 0, 9000, NO_WAIT)
         assert [(row.task, row.run) for row in reply.running] == [(TASK, 1)]
-        assert reply.born_ms == worker.born_ms
+        assert reply.boot_ms == worker.boot_ms
         async with asyncio.timeout(5):
             await worker.has_ended.wait()
         reply = await client.hold(listing, 5, 0, None, NO_WAIT)
-        assert [(end.task, end.how) for end in reply.ended] == [(TASK, HowEnded.DONE)]
+        assert [(end.task, end.outcome) for end in reply.ended] == [(TASK, RunOutcome.DONE)]
         assert (await client.hold(listing, 5, 1, None, NO_WAIT)).ended == ()
 
     with_worker(scenario)
@@ -172,7 +172,7 @@
         with pytest.raises(FencedError):
             await client.stop(listing, TASK, 1, 5)
         worker.name = "w1"
-        with pytest.raises(OtherBootError):
+        with pytest.raises(InstanceMismatchError):
             await client.hold(listing, 9, 0, None, NO_WAIT)
 
     with_worker(scenario)
--- a/tests/platform/wire_server.py
+++ b/tests/platform/wire_server.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from hornbeamramp.fleet import HowEnded, StartOrder, StartReply
+from hornbeamramp.fleet import RunOutcome, StartOrder, StartReply
 from hornbeamramp.statestore import LeaseLostError, Put, Txn, TxnConflictError
 from hornbeamramp.workload import StepKey
 from tests.model.fleet import ModelWorker
@@ -17,8 +17,8 @@
 __all__ = ["serve_advice", "serve_store", "serve_worker"]
 
 WORD_BY_HOW = {
-    HowEnded.GANG_BROKEN: "broken",
-    HowEnded.GANG_INCOMPLETE: "alone",
+    RunOutcome.GANG_BROKEN: "broken",
+    RunOutcome.GANG_INCOMPLETE: "alone",
 }
 REASON_BY_REPLY = {
     StartReply.FENCED: "fence",
@@ -174,12 +174,12 @@
         worker.forget(body["last-seen"])
         if "deadline-ms" in body:
             worker.extend(body["deadline-ms"])
-        born = worker.born_ms
+        born = worker.boot_ms
         if body.get("wait-ms") and not worker.ended:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(body["wait-ms"] / 1000):
                     await worker.has_ended.wait()
-        if not worker.is_up or worker.born_ms != born:
+        if not worker.is_up or worker.boot_ms != born:
             _drop(request)
         return web.json_response(_lists(worker))
 
@@ -209,10 +209,10 @@
     reply = worker.hold_reply()
     return {
         "clock-ms": reply.clock_ms,
-        "born": reply.born_ms,
+        "born": reply.boot_ms,
         "running": [[r.task, r.run, r.checkpoint, r.percent, r.load] for r in reply.running],
         "ended": [
-            [e.number, e.task, e.run, WORD_BY_HOW.get(e.how, e.how.value), e.checkpoint]
+            [e.number, e.task, e.run, WORD_BY_HOW.get(e.outcome, e.outcome.value), e.checkpoint]
             for e in reply.ended
         ],
     }
--- a/tests/poolowner/test_health.py
+++ b/tests/poolowner/test_health.py
@@ -2,7 +2,7 @@
 
 from datetime import timedelta
 
-from hornbeamramp.fleet import HowEnded
+from hornbeamramp.fleet import RunOutcome
 from hornbeamramp.poolowner.health import WorkerHealth, stalled
 from hornbeamramp.workload import StepSpec
 from tests.poolowner.builders import running, session
@@ -18,15 +18,15 @@
 
 def test_worker_that_fails_the_tasks_of_several_jobs_is_set_aside_and_tried_again():
     health, worker = WorkerHealth(), session("w0")
-    end_runs(health, worker, HowEnded.FAILED, 3)
+    end_runs(health, worker, RunOutcome.FAILED, 3)
     assert health.is_aside("w0", 2 * SECOND)
     assert not health.is_aside("w0", 4 * SECOND)
 
 
 def test_worker_that_goes_on_failing_is_set_aside_for_longer():
     health, worker = WorkerHealth(), session("w0")
-    end_runs(health, worker, HowEnded.FAILED, 3)
-    end_runs(health, worker, HowEnded.FAILED, 1, 4 * SECOND)
+    end_runs(health, worker, RunOutcome.FAILED, 3)
+    end_runs(health, worker, RunOutcome.FAILED, 1, 4 * SECOND)
     assert health.is_aside("w0", 7 * SECOND)
 
 
@@ -34,15 +34,15 @@
     health, worker = WorkerHealth(), session("w0")
     hopeless = running(worker, SMALL)
     for _ in range(10):
-        health.note_end(hopeless, HowEnded.FAILED, SECOND)
+        health.note_end(hopeless, RunOutcome.FAILED, SECOND)
     assert not health.is_aside("w0", SECOND)
 
 
 def test_success_between_failures_clears_a_worker():
     health, worker = WorkerHealth(), session("w0")
-    end_runs(health, worker, HowEnded.FAILED, 2)
-    end_runs(health, worker, HowEnded.DONE, 1)
-    end_runs(health, worker, HowEnded.FAILED, 2)
+    end_runs(health, worker, RunOutcome.FAILED, 2)
+    end_runs(health, worker, RunOutcome.DONE, 1)
+    end_runs(health, worker, RunOutcome.FAILED, 2)
     assert not health.is_aside("w0", SECOND)
 
 
--- a/tests/soak/cell.py
+++ b/tests/soak/cell.py
@@ -213,7 +213,7 @@
             "state": state,
             "capacity": {"cpu": 8000, "mem-mb": 8000, "gpu": 4},
             "labels": ["a", f"rack{int(name[1:]) // 2}"],
-            "born": worker.born_ms,
+            "born": worker.boot_ms,
         }
         self.store.put(f"servers/{name}", json.dumps(entry).encode())
 
