--- a/hornbeamramp/fleet/__init__.py
+++ b/hornbeamramp/fleet/__init__.py
@@ -1,4 +1,4 @@
-"""Workers: the contract of their client, and one session for each worker of an owned pool."""
+"""Workers: the interface of their client, and one session for each worker of an owned pool."""
 
 from hornbeamramp.fleet.attempt import Attempt, AttemptPhase
 from hornbeamramp.fleet.base import (
--- a/hornbeamramp/fleet/attempt.py
+++ b/hornbeamramp/fleet/attempt.py
@@ -1,4 +1,4 @@
-"""One run of a task on a worker, as its owner knows it."""
+"""The pool owner's record of one run of a task on a worker."""
 
 from datetime import timedelta
 from enum import Enum
@@ -13,7 +13,10 @@
 
 
 class AttemptPhase(Enum):
-    """What is known of a run."""
+    """Life cycle of a run as far as the owner knows it.
+
+    RESERVED has capacity but no start order yet; UNCERTAIN may have been started or not.
+    """
 
     RESERVED = "reserved"
     ORDERED = "ordered"
@@ -26,14 +29,14 @@
     """One run of a task on a worker.
 
     `task`
-        The owner's task; sessions don't look into it.
+        The owner's task object; opaque to sessions.
     `pace_percent`
-        Share of its speed at which the run was last told to work; -1 if that is not known.
+        Percentage of its speed to which the run was last limited; -1 if unknown.
     `resumed`
-        It began at a checkpoint, so its duration says little of the worker's speed.
+        The run started from a checkpoint, so its duration is no measure of the worker's speed.
     `confirmed_at`
-        Boot time of the latest proof that the run is there, or that it can't come any more. A list
-        asked for later that lacks the run settles it.
+        Boot time of the latest proof that the run exists or can no longer be started. If a run list
+        requested later lacks the run, it is gone.
     """
 
     __slots__ = (
--- a/hornbeamramp/fleet/base.py
+++ b/hornbeamramp/fleet/base.py
@@ -1,4 +1,4 @@
-"""Contract of the client that gives orders to workers, and what workers report."""
+"""Interface of the client that sends orders to workers, and the types of their reports."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -25,7 +25,7 @@
 
 
 class RunOutcome(Enum):
-    """How a run of a task ended. LOST is never reported: the worker no longer knows the run."""
+    """How a run of a task ended. LOST is inferred, not reported: the worker has no such run."""
 
     DONE = "done"
     FAILED = "failed"
@@ -37,7 +37,7 @@
 
 
 class StartReply(Enum):
-    """Answer to a start order. All but STARTED mean that the task was not started."""
+    """Answer to a start order. Any value but STARTED means that the run was not started."""
 
     STARTED = "started"
     FENCED = "fenced"
@@ -51,7 +51,7 @@
 
 
 class WorkerListing(msgspec.Struct, frozen=True):
-    """What a worker says of itself in the list of workers. ``boot_ms`` tells its boots apart."""
+    """A worker's entry in the list of workers. ``boot_ms`` is new with each start of the worker."""
 
     worker: UpstreamId
     pool: PoolName
@@ -81,7 +81,7 @@
 
 
 class RunningRun(msgspec.Struct, frozen=True):
-    """A run at work. ``load`` is the tail of response times in ms for a task with a response
+    """A run in progress. ``load`` is the tail of response times in ms for a task with a response
     target, and the thousandths of a core in use for any other."""
 
     task: str
@@ -92,7 +92,7 @@
 
 
 class EndedRun(msgspec.Struct, frozen=True):
-    """A run that ended. ``number`` counts the ends of one boot of the worker from 1."""
+    """A run that ended. ``number`` counts the ended runs of one boot of the worker from 1."""
 
     number: int
     task: str
@@ -102,7 +102,7 @@
 
 
 class HoldReply(msgspec.Struct, frozen=True):
-    """All that runs on a worker, and the ends that it has not been told to forget."""
+    """All runs on a worker, and the ended runs that have not been acknowledged."""
 
     clock_ms: int
     boot_ms: int
@@ -111,7 +111,7 @@
 
 
 class WorkerUnreachableError(UnreachableError):
-    """No answer from a worker. The order may still be carried out later if ``sent`` is true."""
+    """No answer from a worker. If ``sent`` is true, the order may still be carried out later."""
 
 
 class FencedError(Exception):
@@ -123,19 +123,22 @@
 
 
 class WorkerClient(ABC):
-    """Orders to workers. Each method raises `WorkerUnreachableError` if there is no answer,
-    `FencedError` and `InstanceMismatchError`; ``check`` is called right before an order is sent,
-    which is not sent if it returns false."""
+    """Client for orders to workers.
+
+    Each method raises `WorkerUnreachableError` if there is no answer, `FencedError` and
+    `InstanceMismatchError`. ``token`` is the owner's fencing token. ``check`` is called right
+    before an order is sent; if it returns false, the order is not sent.
+    """
 
     @abstractmethod
     async def start(
         self, worker: WorkerListing, order: StartOrder, check: Callable[[], bool]
     ) -> StartReply:
-        """Starts a run. Starting the same run again changes nothing."""
+        """Starts a run. Starting the same run again has no effect."""
 
     @abstractmethod
     async def stop(self, worker: WorkerListing, task: str, run: int, token: int) -> None:
-        """Stops a run, or keeps it from being started later if it is not there yet."""
+        """Stops a run. If it has not been started yet, prevents a later start."""
 
     @abstractmethod
     async def hold(
@@ -146,11 +149,12 @@
         deadline_ms: int | None,
         wait: timedelta,
     ) -> HoldReply:
-        """Extends the lease of all runs to a time on the worker's clock, forgets the ends up to
-        ``last_seen`` and waits up to ``wait`` for another end."""
+        """Extends the lease of all runs to ``deadline_ms`` on the worker's clock, acknowledges the
+        ends up to number ``last_seen``, which the worker then forgets, and waits up to ``wait`` for
+        another run to end. With ``deadline_ms`` ``None`` the lease is not extended."""
 
     @abstractmethod
     async def pace(
         self, worker: WorkerListing, task: str, run: int, percent: int, token: int
     ) -> None:
-        """Lets a run work at a share of its speed, 0 to 100."""
+        """Limits a run to a percentage of its speed, 0 to 100."""
--- a/hornbeamramp/fleet/session.py
+++ b/hornbeamramp/fleet/session.py
@@ -1,7 +1,7 @@
-"""A worker as its pool's owner sees it: its runs, its room, and the loop that extends its lease.
+"""The pool owner's session with one worker: its runs, its capacity, and lease renewal.
 
-Nothing that may run, or may still be started by an order on its way, leaves the ledger before the
-worker says so in a list asked for afterwards, or its lease has run out for certain.
+A run that may be executing, or that an order in flight may still start, keeps its reservation until
+a run list requested afterwards shows that it is gone, or until its lease has certainly expired.
 """
 
 import asyncio
@@ -29,21 +29,21 @@
 
 __all__ = ["SessionOwner", "WorkerSession"]
 
-# Time for which a worker's runs go on without contact. It covers the death of an owner (its lease
-# of 1.4 s and the recovery) and is what a task waits after the loss of its worker.
+# Time for which a worker's runs go on without contact. It covers the failure of an owner (its lease
+# of 1.4 s and the recovery); a task on a lost worker is started again only after this time.
 RUN_LEASE = timedelta(seconds=6)
-# Longest wait of a hold call that the interface allows; ends answer it at once.
-HOLD_WAIT = timedelta(seconds=2)
-# Pause after a failed call to a worker; three tries fit into the time until a start is late.
+# Longest long-poll wait that the worker interface allows; the end of a run answers it at once.
+MAX_HOLD_WAIT = timedelta(seconds=2)
+# Pause after a failed call to a worker; three attempts fit into the time until a start is late.
 RETRY_PAUSE = timedelta(milliseconds=250)
-# Worker clocks may be 2% slow (the platform's bound).
-SLOWEST_WORKER_CLOCK = 0.98
-# No worker is reborn within this time of an answer.
-SAME_BOOT = timedelta(milliseconds=300)
-# Most ends that a worker lists at a time (the platform's bound), the oldest first.
-ENDS_PER_LIST = 500
-# How long the loop waits for ends to be recorded before it extends the lease again.
-RECORD_WAIT = timedelta(milliseconds=500)
+# Worker clocks may run up to 2% slow (the platform's bound).
+MIN_WORKER_CLOCK_RATE = 0.98
+# A worker that has just answered can't have restarted within this time.
+MIN_RESTART_TIME = timedelta(milliseconds=300)
+# Most ended runs in one reply (the platform's bound), the oldest first.
+MAX_ENDS_PER_REPLY = 500
+# How long the lease loop waits for ends to be recorded before it extends the lease again.
+RECORD_TIMEOUT = timedelta(milliseconds=500)
 
 _log = logbook.Logger("worker")
 
@@ -51,35 +51,35 @@
 
 
 class SessionOwner(Protocol):
-    """What a session needs of the pool's owner."""
+    """What a session needs from the pool's owner."""
 
     token: int
 
     def may_order(self) -> bool:
-        """Tells whether the owner's claim certainly holds now."""
+        """Tells whether orders may be sent: the owner's claim certainly holds now."""
 
     def may_extend(self) -> bool:
-        """Tells whether runs may still be extended, with the claim perhaps gone."""
+        """Tells whether leases may still be extended, even if the claim may have been lost."""
 
     def on_running(self, attempt: Attempt) -> None: ...
 
-    def on_ended(self, attempt: Attempt, how: RunOutcome, checkpoint: str) -> None: ...
+    def on_ended(self, attempt: Attempt, outcome: RunOutcome, checkpoint: str) -> None: ...
 
     def on_capacity_change(self, session: "WorkerSession") -> None: ...
 
     def on_fenced(self, session: "WorkerSession") -> None: ...
 
     async def recorded(self) -> None:
-        """Returns once all that was reported is in the store."""
+        """Waits until all reported ends are in the store. Raises ``TimeoutError``."""
 
 
 class WorkerSession:
-    """Contact with one worker.
+    """Session with one worker.
 
-    `unseen_lease`
+    `inherited_lease`
         Longest lease that a former owner can have given, counted from now.
     `longest_lease`
-        Longest lease that a worker gives, whatever it is asked for.
+        Longest lease that a worker grants, whatever deadline is requested.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         clock: Clock,
         owner: SessionOwner,
         background: BackgroundTasks,
-        unseen_lease: timedelta,
+        inherited_lease: timedelta,
         longest_lease: timedelta,
     ) -> None:
         self.listing = listing
@@ -100,22 +100,24 @@
         self._longest_lease = longest_lease
         self.attempt_by_key: dict[tuple[str, int], Attempt] = {}
         self.used = [0, 0, 0]
-        self.stray_by_key: dict[tuple[str, int], timedelta] = {}
+        self.orphan_stopped_at_by_key: dict[tuple[str, int], timedelta] = {}
         self.is_listed = True
         self.reachable = False
-        self.failures_in_row = 0
-        self._born_ms: int | None = None
-        self._clock_ms = 0
-        self._clock_at: timedelta | None = None
-        self._longest_deadline_ms = 0
-        self._last_seen = 0
-        self._handled = 0
-        # Number of the last end that the worker has been told to forget.
-        self._told = 0
-        # When the newest list that has been applied was asked for.
-        self._listed_at = timedelta(0)
-        # Until the first contact the former owner's leases count, whose length is only bounded.
-        self._unseen_until = clock.boot_time() + unseen_lease
+        self.consecutive_failures = 0
+        self._boot_ms: int | None = None
+        self._worker_clock_ms = 0
+        self._worker_clock_read_at: timedelta | None = None
+        self._latest_deadline_ms = 0
+        # Numbers of the last end in the store, of the last one reported to the owner, and of the
+        # last one that the worker has been told to forget.
+        self._last_recorded = 0
+        self._last_applied = 0
+        self._last_acked = 0
+        # When the newest run list that has been applied was requested.
+        self._applied_request_at = timedelta(0)
+        # Before the first contact, runs may hold leases of a former owner, of which only the
+        # longest possible duration is known.
+        self._inherited_lease_until = clock.boot_time() + inherited_lease
 
     @property
     def worker(self) -> str:
@@ -128,11 +130,11 @@
             self.is_listed
             and self.reachable
             and not self.listing.draining
-            and not self.stray_by_key
+            and not self.orphan_stopped_at_by_key
         )
 
     def free(self) -> tuple[int, int, int]:
-        """Returns what is left: thousandths of a core, MiB, accelerators."""
+        """Returns the free capacity: thousandths of a core, MiB, accelerators."""
         capacity = self.listing.capacity
         return (
             capacity.processors_milli - self.used[0],
@@ -149,16 +151,16 @@
         )
 
     def reserve(self, attempt: Attempt) -> None:
-        """Counts a run's size until it is released."""
+        """Reserves capacity for a run until it is released."""
         self.attempt_by_key[attempt.name, attempt.run] = attempt
-        self._count(attempt.size, 1)
+        self._add_used(attempt.size, 1)
 
     def release(self, attempt: Attempt) -> None:
-        """Takes a run out of the ledger."""
+        """Releases the capacity reserved for a run."""
         if self.attempt_by_key.pop((attempt.name, attempt.run), None) is not None:
-            self._count(attempt.size, -1)
+            self._add_used(attempt.size, -1)
 
-    def _count(self, size: Resources, sign: int) -> None:
+    def _add_used(self, size: Resources, sign: int) -> None:
         self.used[0] += sign * size.processors_milli
         self.used[1] += sign * size.memory_mib
         self.used[2] += sign * size.accelerators
@@ -166,15 +168,15 @@
     # Orders
 
     async def start(self, attempt: Attempt, order: StartOrder) -> StartReply | None:
-        """Orders a start. ``None`` means that it is not known whether it is carried out."""
+        """Sends a start order. ``None`` means that it may or may not be carried out."""
         attempt.phase = AttemptPhase.ORDERED
-        self._longest_deadline_ms = max(self._longest_deadline_ms, order.deadline_ms)
+        self._latest_deadline_ms = max(self._latest_deadline_ms, order.deadline_ms)
         try:
             reply = await self._client.start(self.listing, order, self._owner.may_order)
         except WorkerUnreachableError as error:
             if not error.sent:
                 return StartReply.UNHEALTHY
-            _log.info("start of {} run {}: {}", attempt.name, attempt.run, error)
+            _log.info("start of {} run {} unanswered: {}", attempt.name, attempt.run, error)
             if attempt.phase is AttemptPhase.ORDERED:
                 attempt.phase = AttemptPhase.UNCERTAIN
                 attempt.confirmed_at = None
@@ -188,12 +190,12 @@
         return reply
 
     def deadline_ms(self) -> int:
-        """Returns the end of a lease that begins now, on the worker's clock."""
-        elapsed = self._clock.boot_time() - (self._clock_at or timedelta(0))
-        return int(self._clock_ms + (elapsed + RUN_LEASE) / MILLISECOND)
+        """Returns the end of a lease that begins now, in ms on the worker's clock."""
+        elapsed = self._clock.boot_time() - (self._worker_clock_read_at or timedelta(0))
+        return int(self._worker_clock_ms + (elapsed + RUN_LEASE) / MILLISECOND)
 
     def stop(self, attempt: Attempt) -> None:
-        """Stops a run, or keeps it from starting. It leaves the ledger once the worker lists it."""
+        """Stops a run, or prevents its start. Its capacity is released once a list lacks it."""
         if attempt.stop_wanted:
             return
         attempt.stop_wanted = True
@@ -207,25 +209,27 @@
             if self._owner.may_extend() and await self._send_stop(*key):
                 attempt.confirmed_at = self._clock.boot_time()
                 if attempt.phase is AttemptPhase.UNCERTAIN:
-                    await self._look()
+                    await self._fetch_runs()
                 return
             await self._clock.sleep(RETRY_PAUSE)
 
-    async def _look(self) -> None:
-        """Asks for a list at once, as the pending call may wait for an end that never comes."""
-        # Counts as later than the stop's answer, which may bear the same time.
-        asked_at = self._clock.boot_time() + timedelta.resolution
+    async def _fetch_runs(self) -> None:
+        """Requests the run list at once: a pending hold call may wait for an end until it times
+        out, as a run that never started has none."""
+        # One tick later than the stop's answer, which may have the same time stamp; only a list
+        # requested after that answer proves that the run is gone.
+        requested_at = self._clock.boot_time() + timedelta.resolution
         try:
             reply = await self._client.hold(self.listing, self._owner.token, 0, None, timedelta(0))
         except (WorkerUnreachableError, FencedError, InstanceMismatchError) as error:
-            _log.info("{}: no list after a stop: {!r}", self.worker, error)
+            _log.info("{}: can't get the run list after a stop: {!r}", self.worker, error)
             return
-        self._apply(reply, asked_at, False)
+        self._apply(reply, requested_at, False)
 
-    async def _stop_stray(self, key: tuple[str, int]) -> None:
-        while key in self.stray_by_key:
+    async def _stop_orphan(self, key: tuple[str, int]) -> None:
+        while key in self.orphan_stopped_at_by_key:
             if self._owner.may_extend() and await self._send_stop(*key):
-                self.stray_by_key[key] = self._clock.boot_time()
+                self.orphan_stopped_at_by_key[key] = self._clock.boot_time()
                 return
             await self._clock.sleep(RETRY_PAUSE)
 
@@ -233,141 +237,145 @@
         try:
             await self._client.stop(self.listing, task, run, self._owner.token)
         except WorkerUnreachableError as error:
-            _log.info("stop of {} run {}: {}", task, run, error)
+            _log.info("stop of {} run {} failed: {}", task, run, error)
             return False
         except FencedError:
             self._owner.on_fenced(self)
         except InstanceMismatchError:
-            self._on_other_boot()
+            self._on_instance_mismatch()
         return True
 
-    def _stray(self, task: str, run: int) -> None:
-        """Stops a run that this owner doesn't want; the worker gets no new work meanwhile."""
+    def _add_orphan(self, task: str, run: int) -> None:
+        """Stops a run that belongs to no attempt; the worker gets no new runs until it is gone."""
         key = (task, run)
-        if key not in self.stray_by_key:
-            _log.warning(
-                "{}: stopping {} run {}, which is not wanted there", self.worker, task, run
-            )
-            self.stray_by_key[key] = timedelta.max
-            self._background.spawn(self._stop_stray(key))
+        if key not in self.orphan_stopped_at_by_key:
+            _log.warning("{}: stopping orphaned run: {} run {}", self.worker, task, run)
+            self.orphan_stopped_at_by_key[key] = timedelta.max
+            self._background.spawn(self._stop_orphan(key))
 
     async def pace(self, attempt: Attempt, percent: int) -> None:
-        """Lets a run work at a share of its speed. Without an answer the pace counts as unset."""
+        """Limits a run to a percentage of its speed. Without an answer the pace is unknown."""
         attempt.pace_percent = percent
         try:
             await self._client.pace(
                 self.listing, attempt.name, attempt.run, percent, self._owner.token
             )
         except WorkerUnreachableError as error:
-            _log.info("pace of {} run {}: {}", attempt.name, attempt.run, error)
+            _log.info("pace change of {} run {} failed: {}", attempt.name, attempt.run, error)
             attempt.pace_percent = -1
         except FencedError:
             self._owner.on_fenced(self)
         except InstanceMismatchError:
-            self._on_other_boot()
+            self._on_instance_mismatch()
 
     # The lease loop
 
     async def run(self) -> None:
-        """Extends the worker's lease and applies its lists until it is gone and holds nothing."""
+        """Extends the worker's lease and applies its run lists, until the worker is no longer
+        listed and no attempt is left on it."""
         while self.is_listed or self.attempt_by_key:
             if not self._owner.may_extend():
                 await self._clock.sleep(RETRY_PAUSE)
-                self._end_lapsed()
+                self._end_lapsed_runs()
                 continue
             if not await self._hold_once():
-                self._end_lapsed()
+                self._end_lapsed_runs()
                 await self._clock.sleep(RETRY_PAUSE)
 
     async def _hold_once(self) -> bool:
-        asked_at = self._clock.boot_time()
-        first = self._clock_at is None
-        # A call without an answer may have extended the lease. Further tries only look, so that the
-        # lease of a worker that is gone runs out.
-        is_answering = not first and self.failures_in_row == 0
+        requested_at = self._clock.boot_time()
+        is_first = self._worker_clock_read_at is None
+        # An unanswered call may have extended the lease. Retries don't extend it again, so that the
+        # lease of a worker that is gone expires.
+        is_answering = not is_first and self.consecutive_failures == 0
         deadline = self.deadline_ms() if is_answering else None
-        # Ends that could not be recorded are listed again at once, so there is nothing to wait for.
-        is_behind = self._handled > self._last_seen
-        wait = HOLD_WAIT if is_answering and not is_behind else timedelta(0)
+        # Unrecorded ends are listed again and answer the call at once, so waiting is of no use.
+        has_unrecorded_ends = self._last_applied > self._last_recorded
+        wait = MAX_HOLD_WAIT if is_answering and not has_unrecorded_ends else timedelta(0)
         if deadline is not None:
-            self._longest_deadline_ms = max(self._longest_deadline_ms, deadline)
-        forgettable = self._forgettable()
+            self._latest_deadline_ms = max(self._latest_deadline_ms, deadline)
+        end_to_ack = self._end_to_ack()
         try:
             reply = await self._client.hold(
-                self.listing, self._owner.token, forgettable, deadline, wait
+                self.listing, self._owner.token, end_to_ack, deadline, wait
             )
         except WorkerUnreachableError as error:
-            self.failures_in_row += 1
-            if self.failures_in_row == 2:
-                _log.warning("worker {} can't be reached: {}", self.worker, error)
+            self.consecutive_failures += 1
+            if self.consecutive_failures == 2:
+                _log.warning("worker {} is unreachable: {}", self.worker, error)
                 self.reachable = False
             return False
         except FencedError:
             self._owner.on_fenced(self)
             return False
         except InstanceMismatchError:
-            self._on_other_boot()
+            self._on_instance_mismatch()
             return False
-        self._told = max(self._told, forgettable)
-        self._apply(reply, asked_at, first)
-        # What is recorded is told right after an answer; recording more first would take too long.
-        if self._handled > self._last_seen and self._last_seen <= self._told:
+        self._last_acked = max(self._last_acked, end_to_ack)
+        self._apply(reply, requested_at, is_first)
+        # Recorded ends are acknowledged in the call right after an answer. Recording more of them
+        # before that call would make it too late to acknowledge any, see `_end_to_ack`.
+        if self._last_applied > self._last_recorded and self._last_recorded <= self._last_acked:
             await self._record_ends()
         return True
 
-    def _forgettable(self) -> int:
-        """Returns the number of the last end that the worker may forget.
+    def _end_to_ack(self) -> int:
+        """Returns the number of the last end that the worker may forget, or 0.
 
-        A worker that was reborn since its last answer counts its ends from one again, and would
-        forget those of its new boot. It is asked to forget only right after an answer.
+        A worker that has restarted since its last answer numbers its ends from 1 again, so the
+        numbers of the old boot would make it forget ends of the new one. Ends are acknowledged only
+        right after an answer, when the worker can't have restarted.
         """
         now = self._clock.boot_time()
-        is_fresh = self._clock_at is not None and now - self._clock_at < SAME_BOOT
-        return self._last_seen if is_fresh and self.failures_in_row == 0 else 0
+        is_fresh = (
+            self._worker_clock_read_at is not None
+            and now - self._worker_clock_read_at < MIN_RESTART_TIME
+        )
+        return self._last_recorded if is_fresh and self.consecutive_failures == 0 else 0
 
     async def _record_ends(self) -> None:
-        handled, born_ms = self._handled, self._born_ms
+        last_applied, boot_ms = self._last_applied, self._boot_ms
         try:
-            async with asyncio.timeout(RECORD_WAIT.total_seconds()):
+            async with asyncio.timeout(RECORD_TIMEOUT.total_seconds()):
                 await self._owner.recorded()
         except TimeoutError:
             return
-        if self._born_ms == born_ms:
-            self._last_seen = handled
+        if self._boot_ms == boot_ms:
+            self._last_recorded = last_applied
 
-    def _apply(self, reply: HoldReply, asked_at: timedelta, first: bool) -> None:
-        if asked_at < self._listed_at:
-            # A newer list has been applied; what this one adds is listed again.
+    def _apply(self, reply: HoldReply, requested_at: timedelta, is_first: bool) -> None:
+        if requested_at < self._applied_request_at:
+            # A list requested later has been applied. The next list repeats what this one adds.
             return
-        self._listed_at = asked_at
+        self._applied_request_at = requested_at
         now = self._clock.boot_time()
-        if self._born_ms is not None and reply.boot_ms != self._born_ms:
-            self._on_reborn(reply)
-        self._born_ms = reply.boot_ms
-        self._clock_ms, self._clock_at = reply.clock_ms, now
+        if self._boot_ms is not None and reply.boot_ms != self._boot_ms:
+            self._on_restart(reply)
+        self._boot_ms = reply.boot_ms
+        self._worker_clock_ms, self._worker_clock_read_at = reply.clock_ms, now
         if not self.reachable:
-            _log.info("worker {} is in contact, born {}", self.worker, reply.boot_ms)
-        self.reachable, self.failures_in_row = True, 0
+            _log.info("worker {} is reachable, boot {}", self.worker, reply.boot_ms)
+        self.reachable, self.consecutive_failures = True, 0
         for row in reply.running:
             self._apply_running(row, now)
         had_ends = False
         for end in reply.ended:
-            if end.number <= self._handled:
+            if end.number <= self._last_applied:
                 continue
             had_ends = True
-            self._handled = end.number
-            self.stray_by_key.pop((end.task, end.run), None)
+            self._last_applied = end.number
+            self.orphan_stopped_at_by_key.pop((end.task, end.run), None)
             attempt = self.attempt_by_key.get((end.task, end.run))
             if attempt is not None:
                 self._end(attempt, end.outcome, end.checkpoint)
-        self._end_missing(reply, asked_at, first)
-        if had_ends or first:
+        self._end_missing(reply, requested_at, is_first)
+        if had_ends or is_first:
             self._owner.on_capacity_change(self)
 
     def _apply_running(self, row: RunningRun, now: timedelta) -> None:
         attempt = self.attempt_by_key.get((row.task, row.run))
         if attempt is None:
-            self._stray(row.task, row.run)
+            self._add_orphan(row.task, row.run)
             return
         attempt.confirmed_at = now
         if row.checkpoint:
@@ -382,64 +390,68 @@
             if was_uncertain:
                 self._owner.on_running(attempt)
 
-    def _end_missing(self, reply: HoldReply, asked_at: timedelta, first: bool) -> None:
-        """Ends the runs that the list lacks although they must have been in it."""
-        if len(reply.ended) >= ENDS_PER_LIST:
-            # The list is cut: newer ends are not in it.
+    def _end_missing(self, reply: HoldReply, requested_at: timedelta, is_first: bool) -> None:
+        """Ends the runs that are missing from a list that would contain them if they existed."""
+        if len(reply.ended) >= MAX_ENDS_PER_REPLY:
+            # The list of ends is truncated and lacks the newest ones.
             return
         listed = {(row.task, row.run) for row in reply.running}
         for key, attempt in list(self.attempt_by_key.items()):
             if key in listed or attempt.phase is AttemptPhase.RESERVED:
                 continue
-            # The first list follows the fence, so no earlier owner's order can take effect after.
-            fenced_off = first and attempt.phase is AttemptPhase.UNCERTAIN
-            if fenced_off or (attempt.confirmed_at is not None and attempt.confirmed_at < asked_at):
+            # The first list shows the state after fencing: orders of former owners can no longer
+            # take effect.
+            fenced_off = is_first and attempt.phase is AttemptPhase.UNCERTAIN
+            if fenced_off or (
+                attempt.confirmed_at is not None and attempt.confirmed_at < requested_at
+            ):
                 self._end(attempt, RunOutcome.LOST, attempt.checkpoint)
-        for key, answered_at in list(self.stray_by_key.items()):
-            if key not in listed and answered_at < asked_at:
-                del self.stray_by_key[key]
+        for key, stopped_at in list(self.orphan_stopped_at_by_key.items()):
+            if key not in listed and stopped_at < requested_at:
+                del self.orphan_stopped_at_by_key[key]
 
-    def _end(self, attempt: Attempt, how: RunOutcome, checkpoint: str) -> None:
+    def _end(self, attempt: Attempt, outcome: RunOutcome, checkpoint: str) -> None:
         self.release(attempt)
-        self._owner.on_ended(attempt, how, checkpoint or attempt.checkpoint)
-
-    def _on_reborn(self, reply: HoldReply) -> None:
-        """The worker has started anew: nothing of before runs there, and its counts start at 0."""
-        _log.warning("worker {} was reborn at {}", self.worker, reply.boot_ms)
-        self._last_seen = self._handled = self._told = 0
-        # An order on its way named a time on the old boot's clock, which may give the longest lease
-        # on the new one.
-        self._longest_deadline_ms = int(reply.clock_ms + self._longest_lease / MILLISECOND)
-        # Runs may have been started, and may even have ended, in the new boot already.
+        self._owner.on_ended(attempt, outcome, checkpoint or attempt.checkpoint)
+
+    def _on_restart(self, reply: HoldReply) -> None:
+        """Handles a restart of the worker: all earlier runs are gone and ends are numbered anew."""
+        _log.warning("worker {} has restarted, boot {}", self.worker, reply.boot_ms)
+        self._last_recorded = self._last_applied = self._last_acked = 0
+        # An order in flight has a deadline on the clock of the old boot. On the new boot's clock it
+        # may be late enough to give the longest lease.
+        self._latest_deadline_ms = int(reply.clock_ms + self._longest_lease / MILLISECOND)
+        # Runs may already have started, and even ended, on the new boot.
         listed = {(row.task, row.run) for row in (*reply.running, *reply.ended)}
         for key, attempt in list(self.attempt_by_key.items()):
             if key in listed or attempt.phase is AttemptPhase.RESERVED:
                 continue
             if attempt.phase in (AttemptPhase.ORDERED, AttemptPhase.UNCERTAIN):
-                # The order may still be on its way, and the new boot knows nothing of run numbers.
-                self._stray(*key)
+                # The order may still be in flight, and the new boot does not reject old run
+                # numbers, as it has none stored.
+                self._add_orphan(*key)
             self._end(attempt, RunOutcome.LOST, attempt.checkpoint)
 
-    def _on_other_boot(self) -> None:
-        """Another worker has the address, so this one has ended."""
+    def _on_instance_mismatch(self) -> None:
+        """Handles that another worker has taken over the address, so this one is gone."""
         self.reachable = self.is_listed = False
         self._end_all(RunOutcome.LOST)
 
-    def _end_lapsed(self) -> None:
-        """Ends all runs once their lease has run out for certain."""
+    def _end_lapsed_runs(self) -> None:
+        """Ends all runs once their lease has certainly expired."""
         if not self.attempt_by_key:
             return
         now = self._clock.boot_time()
-        if self._clock_at is None:
-            has_lapsed = now > self._unseen_until
+        if self._worker_clock_read_at is None:
+            has_lapsed = now > self._inherited_lease_until
         else:
-            elapsed_ms = (now - self._clock_at) / MILLISECOND * SLOWEST_WORKER_CLOCK
-            has_lapsed = self._clock_ms + elapsed_ms > self._longest_deadline_ms
+            elapsed_ms = (now - self._worker_clock_read_at) / MILLISECOND * MIN_WORKER_CLOCK_RATE
+            has_lapsed = self._worker_clock_ms + elapsed_ms > self._latest_deadline_ms
         if has_lapsed:
             self.reachable = False
             self._end_all(RunOutcome.LAPSED)
 
-    def _end_all(self, how: RunOutcome) -> None:
+    def _end_all(self, outcome: RunOutcome) -> None:
         for attempt in list(self.attempt_by_key.values()):
             if attempt.phase is not AttemptPhase.RESERVED:
-                self._end(attempt, how, attempt.checkpoint)
+                self._end(attempt, outcome, attempt.checkpoint)
--- a/tests/fleet/test_session.py
+++ b/tests/fleet/test_session.py
@@ -247,7 +247,7 @@
         attempt = bench.attempt()
         await bench.start(attempt)
         # The list after a stop shows the rebirth before the pending call has failed.
-        await bench.session._look()
+        await bench.session._fetch_runs()
         await asyncio.sleep(4.0)
         assert bench.owner.ended == []
 
