--- a/hornbeamramp/explain.py
+++ b/hornbeamramp/explain.py
@@ -1,4 +1,4 @@
-"""Finds the life of one job in the log files of several VMs."""
+"""Collects the log lines of one job from the log files of several VMs."""
 
 import json
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 class LogLine(msgspec.Struct, frozen=True, order=True):
-    """A line of a process's log. ``time`` is by its VM's clock."""
+    """A line of a process's log. ``time`` is from its VM's clock."""
 
     time: datetime
     vm: str
@@ -22,10 +22,10 @@
 
 
 def explain_job(job_id: JobId, files: Iterable[Path]) -> list[LogLine]:
-    """Returns the lines that name a job, in order of time.
+    """Returns the lines that contain a job's id, in order of time.
 
-    What precedes a line's JSON, such as a collector's prefix, and lines without JSON are left out.
-    Raises ``OSError`` if a file can't be read.
+    Text before a line's JSON, such as the prefix of a log collector, is removed; lines without JSON
+    are ignored. Raises ``OSError`` if a file can't be read.
     """
     found = []
     for file in files:
@@ -47,5 +47,5 @@
         time = datetime.fromisoformat(fields["time"])
         return LogLine(time, fields.get("vm", default_vm), fields["part"], fields["message"])
     except (ValueError, KeyError, TypeError):
-        # Not a line of this program.
+        # Not a log line of this program.
         return None
--- a/hornbeamramp/platform/__main__.py
+++ b/hornbeamramp/platform/__main__.py
@@ -1,4 +1,4 @@
-"""Entry point of an entry VM's process on the platform."""
+"""Entry point of the process that serves an entry VM on the platform."""
 
 import os
 import signal
@@ -6,9 +6,9 @@
 
 
 def main() -> int:
-    """Runs one process until SIGTERM."""
-    # The imports take half a second. Nothing is served before their end, and the settings are read
-    # after it.
+    """Runs the process until SIGTERM and returns its exit status."""
+    # The imports take half a second. During that time SIGTERM exits with status 0, as nothing is
+    # served yet, and SIGHUP is ignored, as the settings are read afterwards.
     signal.signal(signal.SIGTERM, lambda *_: os._exit(0))
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
 
--- a/hornbeamramp/platform/advice.py
+++ b/hornbeamramp/platform/advice.py
@@ -13,26 +13,26 @@
 
 __all__ = ["PlatformAdvice"]
 
-# Beyond the wait that the caller allows: connecting and the way there and back.
+# Added to the timeout that the caller of `ask` allows: time to connect and the round trip.
 CALL_TIMEOUT = timedelta(milliseconds=300)
 
 
 class WireAdvice(msgspec.Struct, frozen=True, rename="kebab"):
-    """Rows of ``granted``: worker and ticket."""
+    """Each row of ``granted`` is a worker and its ticket."""
 
     granted: list[tuple[str, str]]
     valid_ms: int
 
 
 class PlatformAdvice(AdviceClient):
-    """The advice service; ``address`` is empty if the platform has none."""
+    """Client of the advice service; ``address`` is empty if the platform has none."""
 
     def __init__(self, address: str, clock: Clock) -> None:
         self._client = HttpClient(address, CALL_TIMEOUT, clock) if address else None
 
     async def ask(self, step: StepKey, workers: list[UpstreamId], timeout: timedelta) -> Advice:
         if self._client is None:
-            raise AdviceUnavailableError("there is no advice service")
+            raise AdviceUnavailableError("no advice service is configured")
         body = msgspec.json.encode({"step": str(step), "workers": workers})
         try:
             reply = await self._client.request("POST", "/advise", body, wait=timeout)
--- a/hornbeamramp/platform/callers.py
+++ b/hornbeamramp/platform/callers.py
@@ -1,4 +1,4 @@
-"""HTTP server for callers and for the platform's readiness probe."""
+"""HTTP server for callers, for the platform's readiness probe and for metrics."""
 
 import asyncio
 import re
@@ -19,21 +19,21 @@
 __all__ = ["CallerServer"]
 
 JOB_ID = re.compile(r"[0-9a-f]{16}", re.IGNORECASE)
-# Time for which a caller waits if it does not say so.
-DEFAULT_PATIENCE = timedelta(seconds=3)
-# Kept back from the caller's deadline for the answer's way.
-ANSWER_MARGIN = timedelta(milliseconds=200)
-# Connections closed earlier could carry a request that is already on its way.
-IDLE_CONNECTION_S = 75.0
+# Time for which a caller waits if its request has no Deadline-Ms header.
+DEFAULT_CALLER_TIMEOUT = timedelta(seconds=3)
+# Subtracted from the caller's deadline for the transmission of the response.
+RESPONSE_MARGIN = timedelta(milliseconds=200)
+# Idle connections stay open this long; closing one earlier may lose a request already in flight.
+KEEPALIVE_TIMEOUT_S = 75.0
 METRICS_PATH = "/metrics"
-# How often shutdown looks whether callers are still connected.
-DRAIN_POLL = timedelta(milliseconds=100)
+# Period at which a draining server checks whether callers are still connected.
+DRAIN_POLL_INTERVAL = timedelta(milliseconds=100)
 
 _log = logbook.Logger("callers")
 
 
 class CallerServer:
-    """Serves one VM's callers. While it drains, each answer asks the caller to disconnect."""
+    """Serves one VM's callers. While draining, each response closes its connection."""
 
     def __init__(self, node: Node, service: CallerService) -> None:
         self._node = node
@@ -46,8 +46,10 @@
         self.is_draining = False
 
     async def start(self, frontend: str, ready: str, metrics: str) -> None:
-        """Listens on the three addresses. Raises ``OSError``."""
-        server = web.Server(self._on_request, keepalive_timeout=IDLE_CONNECTION_S, access_log=None)
+        """Listens on the three addresses, each ``host:port``. Raises ``OSError``."""
+        server = web.Server(
+            self._on_request, keepalive_timeout=KEEPALIVE_TIMEOUT_S, access_log=None
+        )
         self._runner = web.ServerRunner(server)
         self._ready_runner = web.ServerRunner(web.Server(self._on_ready, access_log=None))
         self._metrics_runner = web.ServerRunner(web.Server(_on_metrics, access_log=None))
@@ -67,9 +69,9 @@
         try:
             async with asyncio.timeout(limit.total_seconds()):
                 while self._in_flight or self._open_connections():
-                    await self._clock.sleep(DRAIN_POLL)
+                    await self._clock.sleep(DRAIN_POLL_INTERVAL)
         except TimeoutError:
-            _log.info("{} connections left open at shutdown", self._open_connections())
+            _log.info("drain timed out with {} connections open", self._open_connections())
 
     async def close(self) -> None:
         """Closes listeners and connections."""
@@ -90,7 +92,7 @@
         self._in_flight += 1
         started = self._clock.boot_time()
         try:
-            response = await self._answer(request)
+            response = await self._handle(request)
         finally:
             self._in_flight -= 1
         elapsed = (self._clock.boot_time() - started).total_seconds()
@@ -100,50 +102,50 @@
             response.force_close()
         return response
 
-    async def _answer(self, request: web.BaseRequest) -> web.StreamResponse:
+    async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
         config = self._node.config
         if config is None:
             return _unavailable("no configuration yet", timedelta(seconds=1))
         target = config.match(request.host.rpartition(":")[0] or request.host, request.path)
         if target is None:
             return _json(404, {"error": "no such queue"})
-        patience = _patience(request)
+        timeout = _caller_timeout(request)
         try:
             if request.method == "GET" and not target.rest:
-                return _json(200, {"pending": await self._service.pending(target.queue, patience)})
+                return _json(200, {"pending": await self._service.pending(target.queue, timeout)})
             if not JOB_ID.fullmatch(target.rest):
                 return _json(404, {"error": "the job id must be 16 hexadecimal digits"})
-            return await self._answer_job(request, target, patience)
+            return await self._handle_job(request, target, timeout)
         except UnavailableError as error:
             _log.info("{} {}: {}", request.method, request.path, error)
             if error.may_have_run:
                 return _json(504, {"error": str(error)})
             return _unavailable(str(error), timedelta(seconds=1))
 
-    async def _answer_job(
-        self, request: web.BaseRequest, target: Target, patience: timedelta
+    async def _handle_job(
+        self, request: web.BaseRequest, target: Target, timeout: timedelta
     ) -> web.StreamResponse:
         job_id = JobId(target.rest)
         if request.method == "POST":
-            return await self._submit(request, target, job_id, patience)
+            return await self._submit(request, target, job_id, timeout)
         if request.method == "GET":
-            phase = await self._service.phase(target.queue, job_id, patience)
+            phase = await self._service.phase(target.queue, job_id, timeout)
             if phase is None:
                 return _json(410, {"error": "no such job"})
             return _json(200, {"state": phase.value})
         if request.method == "DELETE":
-            outcome = await self._service.cancel(target.queue, job_id, patience)
+            outcome = await self._service.cancel(target.queue, job_id, timeout)
             return _json(200 if outcome is Cancelled.CANCELLED else 410, {})
         return _json(405, {"error": f"method {request.method} is not known"})
 
     async def _submit(
-        self, request: web.BaseRequest, target: Target, job_id: JobId, patience: timedelta
+        self, request: web.BaseRequest, target: Target, job_id: JobId, timeout: timedelta
     ) -> web.StreamResponse:
         job = decode_job(await request.read())
         if isinstance(job, Err):
-            _log.info("{} refused as malformed: {}", job_id, job.err_value)
+            _log.info("{} refused: malformed job: {}", job_id, job.err_value)
             return _json(400, {"error": job.err_value})
-        submitted = await self._service.submit(target.queue, job_id, job.ok_value, patience)
+        submitted = await self._service.submit(target.queue, job_id, job.ok_value, timeout)
         if submitted.refusal:
             _log.info("{} refused: {}", job_id, submitted.refusal)
             return _unavailable(submitted.refusal, submitted.retry_after)
@@ -158,13 +160,13 @@
     )
 
 
-def _patience(request: web.BaseRequest) -> timedelta:
-    """Returns how long the caller waits, less the way of the answer."""
+def _caller_timeout(request: web.BaseRequest) -> timedelta:
+    """Returns how long the caller waits, less the margin for the response."""
     try:
         deadline = timedelta(milliseconds=float(request.headers.get("Deadline-Ms", "")))
     except ValueError:
-        deadline = DEFAULT_PATIENCE
-    return max(deadline - ANSWER_MARGIN, ANSWER_MARGIN)
+        deadline = DEFAULT_CALLER_TIMEOUT
+    return max(deadline - RESPONSE_MARGIN, RESPONSE_MARGIN)
 
 
 def _json(status: int, body: dict[str, object]) -> web.Response:
--- a/hornbeamramp/platform/decoding.py
+++ b/hornbeamramp/platform/decoding.py
@@ -1,4 +1,4 @@
-"""Decodes what operators, workers and callers write in the platform's words."""
+"""Decodes the operators' configuration, worker entries and jobs from the platform's format."""
 
 from datetime import timedelta
 
@@ -33,8 +33,9 @@
 WORKER_PREFIX = "servers/"
 
 
-class WireAdviceTerms(msgspec.Struct, frozen=True, rename="kebab"):
-    """Cost of a question: ``decide_ms`` in all and ``each_ms`` for each worker named."""
+class WireAdviceTiming(msgspec.Struct, frozen=True, rename="kebab"):
+    """Duration of an advice request: ``decide_ms`` plus ``each_ms`` for each worker named. Tickets
+    are valid for ``valid_ms``."""
 
     decide_ms: float
     each_ms: float
@@ -42,7 +43,7 @@
 
 
 class WireRoute(msgspec.Struct, frozen=True, rename="kebab"):
-    """A route of the platform is a queue here."""
+    """A route of the platform, which is a queue here."""
 
     name: str
     host: str
@@ -53,12 +54,12 @@
     stretch: float = 1.0
     target_completion_ms: float = 0.0
     timeout_ms: float = 3000.0
-    advice: WireAdviceTerms | None = None
+    advice: WireAdviceTiming | None = None
 
 
 class WireService(msgspec.Struct, frozen=True, rename="kebab"):
-    """A service of the platform is a pool here; ``admission_check`` tells whether its workers
-    refuse what does not fit."""
+    """A service of the platform, which is a pool here. ``admission_check`` tells whether its
+    workers refuse runs that exceed their free capacity."""
 
     name: str
     admission_check: bool = False
@@ -88,7 +89,8 @@
 
 
 class WireWorker(msgspec.Struct, frozen=True, rename="kebab"):
-    """A worker's report about itself. ``labels`` are its kind and its rack."""
+    """A worker's entry. ``labels`` are its kind and its rack, ``born`` the Unix time in ms at which
+    it started."""
 
     service: str
     address: str
@@ -101,7 +103,7 @@
 
 
 class WireStep(msgspec.Struct, frozen=True, rename="kebab"):
-    """``cpu`` is in thousandths of a core; ``max_per_server`` counts tasks of one occurrence."""
+    """``cpu`` is in thousandths of a core; ``max_per_server`` limits tasks of one occurrence."""
 
     count: int = 0
     cpu: int = 0
@@ -124,7 +126,7 @@
 
 
 class WireJob(msgspec.Struct, frozen=True, rename="kebab"):
-    """``spec`` is handed to each task as it is."""
+    """``spec`` is passed to each task unchanged."""
 
     steps: list[WireStep]
     spec: str = ""
@@ -161,7 +163,7 @@
 
 
 def _queue(route: WireRoute) -> Queue:
-    terms = route.advice
+    timing = route.advice
     return Queue(
         name=RouteName(route.name),
         pool=PoolName(route.service),
@@ -174,11 +176,11 @@
         timeout=_milliseconds(route.timeout_ms),
         advice=(
             None
-            if terms is None
+            if timing is None
             else AdviceTerms(
-                _milliseconds(terms.decide_ms),
-                _milliseconds(terms.each_ms),
-                _milliseconds(terms.valid_ms),
+                _milliseconds(timing.decide_ms),
+                _milliseconds(timing.each_ms),
+                _milliseconds(timing.valid_ms),
             )
         ),
     )
--- a/hornbeamramp/platform/serve.py
+++ b/hornbeamramp/platform/serve.py
@@ -1,4 +1,4 @@
-"""Runs one entry VM on the platform, from its settings file to its end."""
+"""Runs the process of one entry VM on the platform, from its settings to its shutdown."""
 
 import asyncio
 import gc
@@ -31,20 +31,21 @@
 __all__ = ["SETTINGS_VARIABLE", "serve"]
 
 SETTINGS_VARIABLE = "HORNBEAMRAMP_CONFIG"
-# The rest of the grace between the request to end and the kill, for closing and a busy processor.
+# Part of the grace period between SIGTERM and the kill that is not used for draining: time to close
+# connections, also on a busy processor.
 SHUTDOWN_RESERVE = timedelta(seconds=1.5)
 # Time for callers' requests that were routed here before the platform noticed the shutdown: two
-# readiness probes of a second each, and some slack.
+# readiness probes of a second each, and a margin.
 ROUTING_LAG = timedelta(milliseconds=2500)
 
-# Named in deploy/system.toml too.
+# Must match deploy/system.toml.
 METRICS_PORT = 9464
 
 _log = logbook.Logger("serve")
 
 
 class PlatformAdapter(Adapter):
-    """The platform's store, workers, advice and the decoding of what they hold."""
+    """Clients of the platform's store, workers and advice service, and decoders of their data."""
 
     config_key = decoding.CONFIG_KEY
     config_prefix = decoding.CONFIG_PREFIX
@@ -70,11 +71,12 @@
 
 
 async def serve(logs: NonBlockingHandler) -> int:
-    """Serves until SIGTERM and returns the exit status. Log lines name the VM of the settings."""
+    """Serves until SIGTERM and returns the exit status. Log lines carry the VM name from the
+    settings."""
     file = Path(os.environ.get(SETTINGS_VARIABLE, ""))
     settings = read_settings(file)
     if isinstance(settings, Err):
-        _log.error("settings not usable: {}", settings.err_value)
+        _log.error("can't start, invalid settings: {}", settings.err_value)
         return 2
     logs.vm = settings.ok_value.node_name
     return await _serve(settings.ok_value, file)
@@ -84,7 +86,7 @@
     clock = SystemClock()
     vm, data_centre = VmId(settings.node_name), DataCentreId(settings.zone)
     address = f"{settings.ip}:{settings.internal_ports[0]}"
-    identity = VmIdentity(vm, data_centre, address, uuid.uuid4().hex, settings.size)
+    identity = VmIdentity(vm, data_centre, address, uuid.uuid4().hex, settings.relative_speed)
     adapter = PlatformAdapter(settings, clock)
     peers = PeerClient(vm, data_centre, None, REPLY_TYPE_BY_REQUEST_TYPE)
     server = PeerServer(address, vm, data_centre)
@@ -99,7 +101,8 @@
     setup_metrics(settings.node_name)
     metrics = f"{settings.ip}:{METRICS_PORT}"
     await callers.start(settings.listen.frontend, settings.listen.ready, metrics)
-    # What start-up leaves behind is never garbage; without it collections stay short.
+    # Objects created during start-up live as long as the process. Freezing excludes them from
+    # garbage collection, which keeps collection pauses short.
     gc.collect()
     gc.freeze()
     _log.info("started {} boot {} in {}", vm, identity.boot, data_centre)
@@ -121,11 +124,12 @@
 
 
 def _on_reload(file: Path, current: PlatformSettings) -> None:
-    """Checks changed settings. Addresses are those of the process; the rest is read at start."""
+    """Checks the settings file on SIGHUP. Settings are applied only at start, and the addresses of
+    a running process can't change."""
     settings = read_settings(file)
     if isinstance(settings, Err):
-        _log.error("reload: settings not usable, the old ones stay: {}", settings.err_value)
+        _log.error("reload: invalid settings, keeping the old ones: {}", settings.err_value)
     elif settings.ok_value == current:
         _log.info("reload: settings unchanged")
     else:
-        _log.info("reload: settings changed; they take effect at the next start")
+        _log.info("reload: settings changed, restart to apply them")
--- a/hornbeamramp/platform/settings.py
+++ b/hornbeamramp/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file, read into typed fields."""
+"""Reads the platform's settings file into typed fields."""
 
 import tomllib
 from datetime import timedelta
@@ -12,7 +12,7 @@
 
 
 class ListenAddresses(msgspec.Struct, frozen=True, rename="kebab"):
-    """``frontend`` takes callers, ``ready`` the platform's readiness probe."""
+    """``frontend`` serves callers, ``ready`` the platform's readiness probe."""
 
     frontend: str
     ready: str
@@ -23,17 +23,21 @@
 
 
 class LimitSettings(msgspec.Struct, frozen=True, rename="kebab"):
-    """``cpu_share`` of a core that is ``cores`` times as fast as a usual one."""
+    """The VM has ``cpu_share`` of a core that is ``cores`` times as fast as a standard one."""
 
     cpu_share: float = 1.0
     cores: float = 1.0
 
 
 class PlatformSettings(msgspec.Struct, frozen=True, rename="kebab"):
-    """The fields that are used. `platform` is the store; `bounds` has figures by wire name.
+    """Fields of the settings file that are used; others are ignored.
 
+    `platform`
+        Address of the store.
+    `bounds`
+        Limits of the platform by their name in the file.
     `internal_ports`
-        First and last port that is free for calls between the VMs.
+        First and last port available for calls between the VMs.
     `advice`
         Address of the advice service; empty if there is none.
     """
@@ -49,28 +53,28 @@
     advice: str = ""
 
     @property
-    def size(self) -> float:
-        """Speed of this VM's processor, in usual cores."""
+    def relative_speed(self) -> float:
+        """Speed of this VM's processor as a multiple of a standard core."""
         return self.limits.cpu_share * self.limits.cores
 
     @property
     def job_retention(self) -> timedelta:
-        """Time for which the state of an ended job may be asked for."""
+        """Time for which callers may query the state of an ended job."""
         return timedelta(seconds=float(self.bounds.get("status_s", 120)))
 
     @property
     def longest_lease(self) -> timedelta:
-        """Longest lease that a worker gives its runs."""
+        """Longest lease that a worker grants its runs."""
         return timedelta(milliseconds=float(self.bounds.get("hold-max-ms", 10_000)))
 
     @property
     def shutdown_grace(self) -> timedelta:
-        """Time between the request to end and the kill."""
+        """Time between SIGTERM and the kill."""
         return timedelta(seconds=float(self.bounds.get("grace-s", 6)))
 
 
 def read_settings(file: Path) -> Result[PlatformSettings, str]:
-    """Reads a settings file. The error names the file and the field."""
+    """Reads a settings file. The error names the file and, where one is wrong, the field."""
     try:
         document = tomllib.loads(file.read_text())
         return Ok(msgspec.convert(document, PlatformSettings))
--- a/hornbeamramp/platform/store.py
+++ b/hornbeamramp/platform/store.py
@@ -26,8 +26,8 @@
 
 __all__ = ["PlatformStore"]
 
-# A store that is 75 times slower than usual (4 ms) answers within 300 ms; as much again is left for
-# a lost packet and a busy processor. Each outage is noticed this much later.
+# A store that is 75 times slower than its usual 4 ms answers within 300 ms; the other half allows
+# for a lost packet and a busy processor. An outage is detected this much later.
 CALL_TIMEOUT = timedelta(milliseconds=600)
 
 T = TypeVar("T")
@@ -45,7 +45,7 @@
 
 
 class WireEvent(msgspec.Struct, frozen=True):
-    """Either an item as written, or ``removed``."""
+    """A write with the item's fields, or a deletion with ``removed`` set."""
 
     key: str
     revision: int
@@ -86,12 +86,16 @@
 
 
 class PlatformStore(StateStore):
-    """The store at one address. A refusal for overload or outage changes nothing there."""
+    """Client of the store at one address.
+
+    Answers 429 and 503 (overload or outage) mean that the store has changed nothing.
+    """
 
     def __init__(self, address: str, clock: Clock) -> None:
         self._address = address
         self._client = HttpClient(address, CALL_TIMEOUT, clock)
-        # Watches fail with the connections they wait on; commits don't share those.
+        # Watches have a client of their own: a failed request retires all connections of its
+        # client, and a failed watch must not retire those that commits use.
         self._watch_client = HttpClient(address, CALL_TIMEOUT, clock)
 
     async def get(self, key: str) -> Item | None:
@@ -131,7 +135,7 @@
         reply = await self._call("POST", "/kv-txn", body)
         if reply.status == 412:
             items = self._decode(reply, WireConflict).items
-            # An item of revision 0 stands for a key that does not exist.
+            # Revision 0 marks a required key that does not exist.
             raise TxnConflictError({item.key: item.decode() for item in items if item.revision})
         if reply.status == 404:
             raise LeaseLostError
--- a/hornbeamramp/platform/workers.py
+++ b/hornbeamramp/platform/workers.py
@@ -1,4 +1,4 @@
-"""Client of the workers' interface."""
+"""HTTP client for the workers' interface of the platform."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -25,17 +25,17 @@
 
 __all__ = ["PlatformWorkers"]
 
-# Workers answer in about 2 ms. A lost packet is sent again after some 200 ms.
+# Workers answer in about 2 ms; a lost packet is retransmitted after about 200 ms.
 CALL_TIMEOUT = timedelta(milliseconds=300)
 
-HOW_BY_WORD = {
+OUTCOME_BY_WIRE_NAME = {
     "done": RunOutcome.DONE,
     "failed": RunOutcome.FAILED,
     "stopped": RunOutcome.STOPPED,
     "lapsed": RunOutcome.LAPSED,
     # Another member of the gang ended.
     "broken": RunOutcome.GANG_BROKEN,
-    # The other members did not come in time.
+    # The other members of the gang did not start in time.
     "alone": RunOutcome.GANG_INCOMPLETE,
 }
 
@@ -53,8 +53,15 @@
 
 
 class WireHold(msgspec.Struct, frozen=True, rename="kebab"):
-    """Rows of ``running``: task, run, checkpoint, percent, load. Rows of ``ended``: number, task,
-    run, how, checkpoint. ``born`` is the Unix time in ms at which the worker started."""
+    """Answer to a hold call.
+
+    `running`
+        Rows of task, run, checkpoint, percent, load.
+    `ended`
+        Rows of number, task, run, outcome, checkpoint.
+    `born`
+        Unix time in ms at which the worker started.
+    """
 
     clock_ms: int
     running: list[list[Any]]
@@ -68,13 +75,15 @@
 
 
 def _ended(row: list[Any]) -> EndedRun:
-    number, task, run, how, checkpoint = row
-    # An unknown word still means that the run has ended, without an answer.
-    return EndedRun(number, task, run, HOW_BY_WORD.get(how, RunOutcome.LOST), checkpoint or "")
+    number, task, run, outcome, checkpoint = row
+    # An unknown outcome still means that the run has ended; without a known result it is lost.
+    return EndedRun(
+        number, task, run, OUTCOME_BY_WIRE_NAME.get(outcome, RunOutcome.LOST), checkpoint or ""
+    )
 
 
 class PlatformWorkers(WorkerClient):
-    """Orders over HTTP, with one pool of connections for each address."""
+    """Sends orders over HTTP, with one connection pool for each worker address."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -128,12 +137,12 @@
         if reply.status != 200:
             raise WorkerUnreachableError(Step.RENEW, worker.worker, f"status {reply.status}")
         try:
-            lists = msgspec.json.decode(reply.body, type=WireHold)
+            wire = msgspec.json.decode(reply.body, type=WireHold)
             return HoldReply(
-                lists.clock_ms,
-                lists.born,
-                tuple(_running(row) for row in lists.running),
-                tuple(_ended(row) for row in lists.ended),
+                wire.clock_ms,
+                wire.born,
+                tuple(_running(row) for row in wire.running),
+                tuple(_ended(row) for row in wire.ended),
             )
         except (msgspec.MsgspecError, ValueError) as error:
             raise WorkerUnreachableError(Step.RENEW, worker.worker, str(error)) from error
@@ -162,7 +171,9 @@
         check: Callable[[], bool] | None = None,
     ) -> HttpReply:
         if not worker.address:
-            raise WorkerUnreachableError(Step.RUN, worker.worker, "no address", sent=False)
+            raise WorkerUnreachableError(
+                Step.RUN, worker.worker, "the listing has no address", sent=False
+            )
         client = self._client_by_address.get(worker.address)
         if client is None:
             client = HttpClient(worker.address, CALL_TIMEOUT, self._clock)
--- a/tests/platform/test_settings.py
+++ b/tests/platform/test_settings.py
@@ -33,7 +33,7 @@
     assert (settings.node_name, settings.internal_ports) == ("frontend-gebze-1", (7380, 7395))
     assert settings.job_retention.total_seconds() == 90
     assert settings.shutdown_grace.total_seconds() == 6
-    assert settings.size == 1.5
+    assert settings.relative_speed == 1.5
 
 
 @pytest.mark.parametrize(
