--- a/tests/fleet/test_session.py
+++ b/tests/fleet/test_session.py
@@ -1,4 +1,4 @@
-"""One worker's session: its ledger, its lease and what it does when calls fail."""
+"""Tests of one worker's session: reserved capacity, lease renewal, and calls that fail."""
 
 import asyncio
 from datetime import timedelta
@@ -18,12 +18,12 @@
 SIZE = Resources(1000, 100, 0, 0, 0)
 
 
-class Owner:
-    """Notes what the session reports."""
+class RecordingOwner:
+    """A pool owner that records what the session reports."""
 
     def __init__(self):
         self.token = 5
-        self.extends = True
+        self.can_extend = True
         self.ended = []
         self.is_fenced = False
 
@@ -31,13 +31,13 @@
         return True
 
     def may_extend(self):
-        return self.extends
+        return self.can_extend
 
     def on_running(self, attempt):
         pass
 
-    def on_ended(self, attempt, how, checkpoint):
-        self.ended.append((attempt.name, how))
+    def on_ended(self, attempt, outcome, checkpoint):
+        self.ended.append((attempt.name, outcome))
 
     def on_capacity_change(self, session):
         pass
@@ -49,15 +49,15 @@
         await asyncio.sleep(0.01)
 
 
-class Bench:
-    """A session with one model worker."""
+class SessionHarness:
+    """A session with one simulated worker."""
 
     def __init__(self):
         self.clock = LoopClock()
         self.fleet = ModelFleet(self.clock)
         self.worker = self.fleet.add("w0", CAPACITY)
         self.view = FleetView(self.fleet, "vm0")
-        self.owner = Owner()
+        self.owner = RecordingOwner()
         listing = WorkerListing("w0", "pool", "w0", "gebze", False, CAPACITY, ("a", "r0"))
         self.background = BackgroundTasks("test", logbook.Logger("test"))
         self.session = WorkerSession(
@@ -83,211 +83,239 @@
         return await self.session.start(attempt, order)
 
 
-def on_bench(scenario):
+def run_with_harness(scenario):
     async def main():
-        bench = Bench()
+        harness = SessionHarness()
         try:
             await asyncio.sleep(0.1)
-            await scenario(bench)
+            await scenario(harness)
         finally:
-            await bench.background.cancel()
+            await harness.background.cancel()
 
     run_in_virtual_time(main())
 
 
-def test_room_is_counted_from_the_reservation_to_the_listed_end():
-    async def scenario(bench):
-        attempt = bench.attempt()
-        assert bench.session.free() == (7000, 7900, 4)
-        await bench.start(attempt)
-        bench.session.stop(attempt)
-        assert bench.session.free() == (7000, 7900, 4)
+def test_capacity_is_reserved_until_the_end_is_listed():
+    async def scenario(harness):
+        attempt = harness.attempt()
+        assert harness.session.free() == (7000, 7900, 4)
+        await harness.start(attempt)
+        harness.session.stop(attempt)
+        assert harness.session.free() == (7000, 7900, 4)
         await asyncio.sleep(0.5)
-        assert bench.session.free() == (8000, 8000, 4)
-        assert bench.owner.ended == [(attempt.name, RunOutcome.STOPPED)]
+        assert harness.session.free() == (8000, 8000, 4)
+        assert harness.owner.ended == [(attempt.name, RunOutcome.STOPPED)]
 
-    on_bench(scenario)
+    run_with_harness(scenario)
 
 
 def test_leases_are_extended_while_the_worker_answers():
-    async def scenario(bench):
-        await bench.start(bench.attempt())
+    async def scenario(harness):
+        await harness.start(harness.attempt())
         await asyncio.sleep(30)
-        assert len(bench.worker.run_by_task) == 1
+        assert len(harness.worker.run_by_task) == 1
 
-    on_bench(scenario)
+    run_with_harness(scenario)
 
 
 def test_runs_on_a_silent_worker_end_after_their_lease_and_not_before():
-    """Each call without an answer extended the lease again, so the runs never ended."""
+    """Guards against runs that never end on a worker that has stopped answering.
 
-    async def scenario(bench):
-        await bench.start(bench.attempt())
+    Each unanswered call counted as another extension of the lease.
+    """
+
+    async def scenario(harness):
+        await harness.start(harness.attempt())
         await asyncio.sleep(1.0)
-        bench.worker.cut_from.add("vm0")
+        harness.worker.cut_from.add("vm0")
         await asyncio.sleep(4.0)
-        assert bench.owner.ended == []
+        assert harness.owner.ended == []
         await asyncio.sleep(6.0)
-        assert [how for _, how in bench.owner.ended] == [RunOutcome.LAPSED]
-        assert bench.worker.run_by_task == {}
+        assert [outcome for _, outcome in harness.owner.ended] == [RunOutcome.LAPSED]
+        assert harness.worker.run_by_task == {}
 
-    on_bench(scenario)
+    run_with_harness(scenario)
 
 
-def test_run_of_no_attempt_is_stopped_and_keeps_the_worker_unused_until_then():
-    async def scenario(bench):
+def test_orphaned_run_is_stopped_and_its_worker_unused_until_then():
+    async def scenario(harness):
         order = StartOrder(f"{'a' * 16}.0.0.7", 1, "payload", 60_000, 5)
-        bench.worker.start(order)
+        harness.worker.start(order)
         await asyncio.sleep(2.2)
-        assert bench.worker.run_by_task == {}
+        assert harness.worker.run_by_task == {}
         await asyncio.sleep(2.2)
-        assert bench.session.usable
+        assert harness.session.usable
+
+    run_with_harness(scenario)
 
-    on_bench(scenario)
 
+def test_stop_is_sent_once_the_owner_may_send_again():
+    """Guards against capacity that stays reserved for ever.
 
-def test_stop_is_sent_after_a_time_in_which_nothing_might_be_sent():
-    """The stop was given up when the claim was in doubt, and the run held its room for ever."""
+    A stop requested while the owner's claim was in doubt was dropped instead of sent later.
+    """
 
-    async def scenario(bench):
-        attempt = bench.attempt()
-        await bench.start(attempt)
-        bench.owner.extends = False
-        bench.session.stop(attempt)
+    async def scenario(harness):
+        attempt = harness.attempt()
+        await harness.start(attempt)
+        harness.owner.can_extend = False
+        harness.session.stop(attempt)
         await asyncio.sleep(1.0)
-        bench.owner.extends = True
+        harness.owner.can_extend = True
         await asyncio.sleep(3.0)
-        assert bench.owner.ended == [(attempt.name, RunOutcome.STOPPED)]
+        assert harness.owner.ended == [(attempt.name, RunOutcome.STOPPED)]
 
-    on_bench(scenario)
+    run_with_harness(scenario)
 
 
 def test_worker_that_has_seen_a_higher_token_fences_the_owner():
-    async def scenario(bench):
-        bench.worker.fence(9)
+    async def scenario(harness):
+        harness.worker.fence(9)
         await asyncio.sleep(4.0)
-        assert bench.owner.is_fenced
+        assert harness.owner.is_fenced
 
-    on_bench(scenario)
+    run_with_harness(scenario)
 
 
-def test_worker_reborn_with_a_start_on_its_way_is_not_used_before_the_start_is_settled():
-    async def scenario(bench):
-        attempt = bench.attempt()
-        bench.view.late_share = 1.0
-        assert await bench.start(attempt) is None
-        bench.worker.crash()
-        bench.worker.rebirth()
+def test_restarted_worker_is_not_used_before_a_start_in_flight_is_settled():
+    async def scenario(harness):
+        attempt = harness.attempt()
+        harness.view.late_share = 1.0
+        assert await harness.start(attempt) is None
+        harness.worker.crash()
+        harness.worker.rebirth()
         await asyncio.sleep(4.0)
-        assert bench.owner.ended == [(attempt.name, RunOutcome.LOST)]
+        assert harness.owner.ended == [(attempt.name, RunOutcome.LOST)]
 
-    on_bench(scenario)
+    run_with_harness(scenario)
 
 
 def test_run_that_the_new_boot_started_and_ended_is_done_and_not_lost():
-    """The list that showed the rebirth also held the end, and the task was started again."""
+    """Guards against starting a task again that is done.
 
-    async def scenario(bench):
+    The list that first showed the restart also contained the end of a run on the new boot, which
+    was counted as lost with the runs of the old boot.
+    """
+
+    async def scenario(harness):
         spec = job(StepSpec(1, 1000, 100, estimate_ms=300))
-        bench.fleet.spec_by_job[JobId("a" * 16)] = spec
-        bench.worker.crash()
-        bench.worker.rebirth()
-        attempt = bench.attempt()
-        await bench.start(attempt)
+        harness.fleet.spec_by_job[JobId("a" * 16)] = spec
+        harness.worker.crash()
+        harness.worker.rebirth()
+        attempt = harness.attempt()
+        await harness.start(attempt)
         await asyncio.sleep(4.0)
-        assert bench.owner.ended == [(attempt.name, RunOutcome.DONE)]
+        assert harness.owner.ended == [(attempt.name, RunOutcome.DONE)]
 
-    on_bench(scenario)
+    run_with_harness(scenario)
 
 
 def test_start_without_answer_is_settled_within_half_a_second():
-    """Orders carried out late: each waited for the pending list, up to two seconds."""
+    """Guards against a delay of up to two seconds in settling an unanswered start.
+
+    The session waited for the reply to the pending hold call instead of requesting a list at once.
+    """
 
-    async def scenario(bench):
-        attempt = bench.attempt()
+    async def scenario(harness):
+        attempt = harness.attempt()
         await asyncio.sleep(0.5)
-        bench.view.late_share = 1.0
-        assert await bench.start(attempt) is None
-        bench.view.late_share = 0.0
-        bench.session.stop(attempt)
+        harness.view.late_share = 1.0
+        assert await harness.start(attempt) is None
+        harness.view.late_share = 0.0
+        harness.session.stop(attempt)
         await asyncio.sleep(0.1)
-        assert bench.owner.ended == [(attempt.name, RunOutcome.LOST)]
+        assert harness.owner.ended == [(attempt.name, RunOutcome.LOST)]
         await asyncio.sleep(13.0)
-        assert bench.fleet.starts == []
+        assert harness.fleet.starts == []
 
-    on_bench(scenario)
+    run_with_harness(scenario)
 
 
-def test_reborn_worker_is_not_told_to_forget_the_ends_of_its_new_boot():
-    """The numbers of the old boot were sent to the new one, which dropped an unseen end."""
+def test_restarted_worker_is_not_told_to_forget_the_ends_of_its_new_boot():
+    """Guards against losing the end of a run after a restart of the worker.
 
-    async def scenario(bench):
+    The session acknowledged end numbers of the old boot, and the new boot dropped an end of its own
+    with such a number before the session had received it.
+    """
+
+    async def scenario(harness):
         spec = job(StepSpec(9, 1000, 100, estimate_ms=300))
-        bench.fleet.spec_by_job[JobId("a" * 16)] = spec
+        harness.fleet.spec_by_job[JobId("a" * 16)] = spec
         for index in range(4):
-            await bench.start(bench.attempt(index))
+            await harness.start(harness.attempt(index))
         await asyncio.sleep(1.0)
-        bench.worker.crash()
+        harness.worker.crash()
         await asyncio.sleep(0.5)
-        bench.worker.rebirth()
-        attempt = bench.attempt(5)
-        await bench.start(attempt)
+        harness.worker.rebirth()
+        attempt = harness.attempt(5)
+        await harness.start(attempt)
         await asyncio.sleep(4.0)
-        assert bench.owner.ended[-1] == (attempt.name, RunOutcome.DONE)
+        assert harness.owner.ended[-1] == (attempt.name, RunOutcome.DONE)
+
+    run_with_harness(scenario)
 
-    on_bench(scenario)
 
+def test_run_on_a_restarted_worker_does_not_lapse_with_the_next_failed_call():
+    """Guards against a second start of a task that is running on a restarted worker.
 
-def test_run_on_a_reborn_worker_is_not_taken_as_lapsed_with_the_next_failed_call():
-    """The rebirth set the longest lease to none, and the task was started a second time."""
+    The restart cleared the latest lease deadline, so the next failed call ended all runs as
+    lapsed.
+    """
 
-    async def scenario(bench):
-        bench.worker.crash()
-        bench.worker.rebirth()
-        attempt = bench.attempt()
-        await bench.start(attempt)
-        # The list after a stop shows the rebirth before the pending call has failed.
-        await bench.session._fetch_runs()
+    async def scenario(harness):
+        harness.worker.crash()
+        harness.worker.rebirth()
+        attempt = harness.attempt()
+        await harness.start(attempt)
+        # The list after a stop shows the restart before the pending hold call has failed.
+        await harness.session._fetch_runs()
         await asyncio.sleep(4.0)
-        assert bench.owner.ended == []
+        assert harness.owner.ended == []
 
-    on_bench(scenario)
+    run_with_harness(scenario)
 
 
-def slow_records(bench, seconds):
+def slow_down_recording(harness, seconds):
     async def recorded():
         await asyncio.sleep(seconds)
 
-    bench.owner.recorded = recorded
+    harness.owner.recorded = recorded
 
 
-async def run_many(bench, count, pause=0.0):
-    """Runs many short tasks one after the other."""
-    bench.fleet.spec_by_job[JobId("a" * 16)] = job(StepSpec(count, 1000, 100, estimate_ms=20))
+async def run_many(harness, count, pause=0.0):
+    """Starts many short tasks one after the other."""
+    harness.fleet.spec_by_job[JobId("a" * 16)] = job(StepSpec(count, 1000, 100, estimate_ms=20))
     for index in range(count):
-        await bench.start(bench.attempt(index))
+        await harness.start(harness.attempt(index))
         await asyncio.sleep(pause)
 
 
 def test_ends_are_forgotten_although_recording_them_takes_long():
-    """With commits of 400 ms an owner never told a worker to forget, and its list grew."""
+    """Guards against a worker's list of ends that grows without bound with a slow store.
+
+    With commits of 400 ms the session never acknowledged an end.
+    """
+
+    async def scenario(harness):
+        slow_down_recording(harness, 0.4)
+        await run_many(harness, 300, pause=0.02)
+        # About the ends of one second: the commit and the list that precede an acknowledgement.
+        assert len(harness.worker.ended) < 50
 
-    async def scenario(bench):
-        slow_records(bench, 0.4)
-        await run_many(bench, 300, pause=0.02)
-        # The ends of a second, with the commit and the list that precede their forgetting.
-        assert len(bench.worker.ended) < 50
+    run_with_harness(scenario)
 
-    on_bench(scenario)
 
+def test_run_whose_end_is_beyond_a_truncated_list_is_not_lost():
+    """Guards against running tasks again whose ends are missing from a truncated list.
 
-def test_run_whose_end_is_beyond_a_cut_list_is_not_lost():
-    """Grown deployment: beyond 500 ends a list lacked new ones, and the tasks were run again."""
+    A list has at most 500 ends, the oldest first. In a grown deployment there were more, and runs
+    whose ends were not among them counted as lost.
+    """
 
-    async def scenario(bench):
-        slow_records(bench, 1000.0)
-        await run_many(bench, 600)
+    async def scenario(harness):
+        slow_down_recording(harness, 1000.0)
+        await run_many(harness, 600)
         await asyncio.sleep(5.0)
-        assert all(how is RunOutcome.DONE for _, how in bench.owner.ended)
+        assert all(outcome is RunOutcome.DONE for _, outcome in harness.owner.ended)
 
-    on_bench(scenario)
+    run_with_harness(scenario)
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -1,4 +1,4 @@
-"""What operators, workers and callers write on the platform, well formed and not."""
+"""Decoding of valid and invalid configuration, worker entries and jobs of the platform."""
 
 import json
 from datetime import timedelta
@@ -76,11 +76,11 @@
     [{"state": "resting"}, {"capacity": None}, {"address": 5}, {"service": None}],
     ids=["state", "capacity", "address", "service"],
 )
-def test_entry_of_another_writer_names_no_worker(change):
+def test_invalid_worker_entry_is_rejected(change):
     assert isinstance(decode_worker(item("servers/i-1", {**WORKER, **change})), Err)
 
 
-def test_entry_that_is_not_json_names_no_worker():
+def test_worker_entry_that_is_not_json_is_rejected():
     assert isinstance(decode_worker(item("servers/i-1", b"\x80garbage")), Err)
 
 
--- a/tests/platform/test_main.py
+++ b/tests/platform/test_main.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-# Sends the signals when the first library is imported.
+# Sends itself the signals when the first third-party library is imported.
 PROGRAM = """
 import builtins, os, signal
 
@@ -19,13 +19,17 @@
 from hornbeamramp.platform.__main__ import main
 raise SystemExit(main())
 """
-# Status of a process that finds no usable settings.
+# Exit status of a process without valid settings.
 NO_SETTINGS = 2
 
 
 @pytest.mark.parametrize(("last", "status"), [("SIGTERM", 0), ("SIGHUP", NO_SETTINGS)])
 def test_signals_during_the_imports_do_not_kill_the_process(last, status):
-    """SIGHUP or SIGTERM in the first half second ended it as if it had crashed (soak seed 6)."""
+    """Guards against signals that kill the process during its first half second.
+
+    The default actions of SIGHUP and SIGTERM applied until the imports were done, so the process
+    ended as if it had crashed (seen in soak seed 6).
+    """
     program = PROGRAM.format(last=last)
     done = subprocess.run(
         [sys.executable, "-c", program], env={}, capture_output=True, timeout=60, check=False
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""The platform's clients against its interface on loopback."""
+"""The platform's clients against simulated servers of its HTTP interface on loopback."""
 
 import asyncio
 from datetime import timedelta
@@ -82,7 +82,7 @@
     with_store(scenario)
 
 
-def test_conflict_tells_the_required_items_that_exist():
+def test_conflict_reports_the_required_items_that_exist():
     async def scenario(client, model):
         model.put("a", b"theirs")
         with pytest.raises(TxnConflictError) as conflict:
@@ -92,7 +92,7 @@
     with_store(scenario)
 
 
-def test_watch_tells_changes_and_removals_and_gaps():
+def test_watch_reports_changes_and_removals_and_gaps():
     async def scenario(client, model):
         start = model.revision
         model.put("p/a", b"1")
@@ -106,7 +106,7 @@
     with_store(scenario)
 
 
-def test_lease_that_has_ended_is_told():
+def test_lease_that_has_ended_is_reported():
     async def scenario(client, model):
         lease = await client.grant_lease(timedelta(seconds=5))
         await client.keep_lease(lease)
@@ -190,8 +190,8 @@
 
 def test_worker_without_address_is_unreachable():
     async def scenario(client, listing, worker):
-        ghost = WorkerListing("w9", "", "", "", True, CAPACITY)
+        unaddressed = WorkerListing("w9", "", "", "", True, CAPACITY)
         with pytest.raises(WorkerUnreachableError):
-            await client.hold(ghost, 5, 0, None, NO_WAIT)
+            await client.hold(unaddressed, 5, 0, None, NO_WAIT)
 
     with_worker(scenario)
--- a/tests/platform/wire_server.py
+++ b/tests/platform/wire_server.py
@@ -1,4 +1,4 @@
-"""The model's store and workers behind the platform's HTTP interface, on loopback."""
+"""HTTP servers on loopback that offer simulated store, workers and advice as the platform does."""
 
 import asyncio
 import base64
@@ -16,7 +16,7 @@
 
 __all__ = ["serve_advice", "serve_store", "serve_worker"]
 
-WORD_BY_HOW = {
+WIRE_NAME_BY_OUTCOME = {
     RunOutcome.GANG_BROKEN: "broken",
     RunOutcome.GANG_INCOMPLETE: "alone",
 }
@@ -25,8 +25,8 @@
     StartReply.SUPERSEDED: "old",
     StartReply.PAST_DEADLINE: "late",
 }
-# How often a waiting watch looks for leases that have ended.
-EXPIRY_PERIOD_S = 0.1
+# Period at which a pending watch checks for expired leases.
+LEASE_CHECK_PERIOD_S = 0.1
 
 
 def wire_item(item):
@@ -92,7 +92,7 @@
 
 
 async def _watch(store, query):
-    """Answers as soon as there is an event, or after the time asked for."""
+    """Answers as soon as there is an event, or after the requested wait."""
     loop = asyncio.get_running_loop()
     end = loop.time() + int(query["wait-ms"]) / 1000
     while True:
@@ -103,7 +103,7 @@
         if has_events or left <= 0:
             return response
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(min(left, EXPIRY_PERIOD_S)):
+            async with asyncio.timeout(min(left, LEASE_CHECK_PERIOD_S)):
                 await changed.wait()
 
 
@@ -135,7 +135,7 @@
 
 
 async def serve_advice(advice, host="127.0.0.1"):
-    """Serves an advice client of the model; steps are named as on the wire."""
+    """Serves a simulated advice client; step keys are parsed from their form on the wire."""
 
     async def handle(request):
         body = json.loads(await request.read())
@@ -149,8 +149,8 @@
     return await listen(handle, host)
 
 
-def _drop(request):
-    """Breaks the connection, if the caller has not done so."""
+def _abort_connection(request):
+    """Aborts the connection, unless the caller has already closed it."""
     if request.transport is not None:
         request.transport.abort()
 
@@ -159,7 +159,7 @@
     async def handle(request):
         body = json.loads(await request.read())
         if not worker.is_up:
-            _drop(request)
+            _abort_connection(request)
         if request.headers["Expect-Instance"] != worker.name:
             return web.json_response({}, status=421)
         if request.path == "/run-start":
@@ -180,8 +180,8 @@
                 async with asyncio.timeout(body["wait-ms"] / 1000):
                     await worker.has_ended.wait()
         if not worker.is_up or worker.boot_ms != born:
-            _drop(request)
-        return web.json_response(_lists(worker))
+            _abort_connection(request)
+        return web.json_response(_hold_body(worker))
 
     return await listen(handle, host)
 
@@ -205,14 +205,20 @@
     return web.json_response({**answer, "reason": REASON_BY_REPLY[reply]}, status=409)
 
 
-def _lists(worker):
+def _hold_body(worker):
     reply = worker.hold_reply()
     return {
         "clock-ms": reply.clock_ms,
         "born": reply.boot_ms,
         "running": [[r.task, r.run, r.checkpoint, r.percent, r.load] for r in reply.running],
         "ended": [
-            [e.number, e.task, e.run, WORD_BY_HOW.get(e.outcome, e.outcome.value), e.checkpoint]
+            [
+                e.number,
+                e.task,
+                e.run,
+                WIRE_NAME_BY_OUTCOME.get(e.outcome, e.outcome.value),
+                e.checkpoint,
+            ]
             for e in reply.ended
         ],
     }
--- a/tests/test_explain.py
+++ b/tests/test_explain.py
@@ -1,4 +1,4 @@
-"""The life of one job from the logs of several VMs, and the log handler that writes them."""
+"""Collecting the log lines of one job from several VMs, and the handler that writes the logs."""
 
 import contextlib
 import json
@@ -35,8 +35,8 @@
     assert explain_job(JOB, [log]) == []
 
 
-def test_log_never_blocks_and_tells_how_many_lines_it_dropped():
-    """A collector that stopped reading would have held up every request."""
+def test_log_never_blocks_and_reports_the_number_of_dropped_lines():
+    """Guards against blocked requests when the log collector stops reading."""
     reader, writer = os.pipe()
     handler = NonBlockingHandler(writer)
     handler.vm = "vm1"
