--- a/hornbeamramp/fleet/__init__.py
+++ b/hornbeamramp/fleet/__init__.py
@@ -1,11 +1,11 @@
-"""Workers: the contract of their client, and one session for each worker of an owned pool."""
+"""Workers: the interface of their client, and one session for each worker of an owned pool."""
 
 from hornbeamramp.fleet.attempt import Attempt, AttemptPhase
 from hornbeamramp.fleet.base import (
     EndedRun,
     HoldReply,
-    HowEnded,
     RunningRun,
+    RunOutcome,
     StartOrder,
     StartReply,
     WorkerClient,
@@ -19,7 +19,7 @@
     "AttemptPhase",
     "EndedRun",
     "HoldReply",
-    "HowEnded",
+    "RunOutcome",
     "RunningRun",
     "SessionOwner",
     "StartOrder",
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""The platform's clients against its interface on loopback."""
+"""The platform's clients against simulated servers of its HTTP interface on loopback."""
 
 import asyncio
 from datetime import timedelta
@@ -7,8 +7,8 @@
 
 from hornbeamramp.clock import SystemClock
 from hornbeamramp.errors import StoreUnavailableError
-from hornbeamramp.fleet import HowEnded, StartOrder, StartReply, WorkerListing
-from hornbeamramp.fleet.base import FencedError, OtherBootError, WorkerUnreachableError
+from hornbeamramp.fleet import RunOutcome, StartOrder, StartReply, WorkerListing
+from hornbeamramp.fleet.base import FencedError, InstanceMismatchError, WorkerUnreachableError
 from hornbeamramp.ids import JobId
 from hornbeamramp.platform.store import PlatformStore
 from hornbeamramp.platform.workers import PlatformWorkers
@@ -82,7 +82,7 @@
     with_store(scenario)
 
 
-def test_conflict_tells_the_required_items_that_exist():
+def test_conflict_reports_the_required_items_that_exist():
     async def scenario(client, model):
         model.put("a", b"theirs")
         with pytest.raises(TxnConflictError) as conflict:
@@ -92,7 +92,7 @@
     with_store(scenario)
 
 
-def test_watch_tells_changes_and_removals_and_gaps():
+def test_watch_reports_changes_and_removals_and_gaps():
     async def scenario(client, model):
         start = model.revision
         model.put("p/a", b"1")
@@ -106,7 +106,7 @@
     with_store(scenario)
 
 
-def test_lease_that_has_ended_is_told():
+def test_lease_that_has_ended_is_reported():
     async def scenario(client, model):
         lease = await client.grant_lease(timedelta(seconds=5))
         await client.keep_lease(lease)
@@ -137,11 +137,11 @@
         assert await client.start(listing, order(), lambda: True) is StartReply.STARTED
         reply = await client.hold(listing, 5, 0, 9000, NO_WAIT)
         assert [(row.task, row.run) for row in reply.running] == [(TASK, 1)]
-        assert reply.born_ms == worker.born_ms
+        assert reply.boot_ms == worker.boot_ms
         async with asyncio.timeout(5):
             await worker.has_ended.wait()
         reply = await client.hold(listing, 5, 0, None, NO_WAIT)
-        assert [(end.task, end.how) for end in reply.ended] == [(TASK, HowEnded.DONE)]
+        assert [(end.task, end.outcome) for end in reply.ended] == [(TASK, RunOutcome.DONE)]
         assert (await client.hold(listing, 5, 1, None, NO_WAIT)).ended == ()
 
     with_worker(scenario)
@@ -172,7 +172,7 @@
         with pytest.raises(FencedError):
             await client.stop(listing, TASK, 1, 5)
         worker.name = "w1"
-        with pytest.raises(OtherBootError):
+        with pytest.raises(InstanceMismatchError):
             await client.hold(listing, 9, 0, None, NO_WAIT)
 
     with_worker(scenario)
@@ -190,8 +190,8 @@
 
 def test_worker_without_address_is_unreachable():
     async def scenario(client, listing, worker):
-        ghost = WorkerListing("w9", "", "", "", True, CAPACITY)
+        unaddressed = WorkerListing("w9", "", "", "", True, CAPACITY)
         with pytest.raises(WorkerUnreachableError):
-            await client.hold(ghost, 5, 0, None, NO_WAIT)
+            await client.hold(unaddressed, 5, 0, None, NO_WAIT)
 
     with_worker(scenario)
