--- a/hornbeamramp/platform/store.py
+++ b/hornbeamramp/platform/store.py
@@ -141,7 +141,7 @@
         body = {"ttl-ms": to_ms(ttl)}
         return self._decode(await self._call("POST", "/kv-lease", body), WireLease).lease
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         reply = await self._call("POST", f"/kv-keep/{lease}", {})
         if reply.status == 404:
             raise LeaseLostError
--- a/hornbeamramp/statestore/base.py
+++ b/hornbeamramp/statestore/base.py
@@ -116,7 +116,7 @@
         """Creates a lease that ends ``ttl`` after its last renewal."""
 
     @abstractmethod
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         """Renews a lease. Raises `LeaseLostError`."""
 
     @abstractmethod
--- a/hornbeamramp/vm/lease.py
+++ b/hornbeamramp/vm/lease.py
@@ -51,7 +51,7 @@
             sent_at = self._clock.boot_time()
             try:
                 if self.lease_id:
-                    await self._store.keep_lease(self.lease_id)
+                    await self._store.renew_lease(self.lease_id)
                 else:
                     self.lease_id = await self._store.grant_lease(LEASE_TTL)
                     _log.info("lease {} granted", self.lease_id)
--- a/hornbeamramp/vm/relay.py
+++ b/hornbeamramp/vm/relay.py
@@ -149,7 +149,7 @@
         request = RelayRequest(StoreOperation.GRANT, ttl_ms=ttl_ms)
         return (await self._call(request, timedelta(0))).number
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         await self._call(RelayRequest(StoreOperation.KEEP, lease=lease), timedelta(0))
 
     async def end_lease(self, lease: int) -> None:
@@ -272,7 +272,7 @@
                 ttl = timedelta(milliseconds=request.ttl_ms)
                 return RelayReply(done, number=await store.grant_lease(ttl))
             case StoreOperation.KEEP:
-                await store.keep_lease(request.lease)
+                await store.renew_lease(request.lease)
             case StoreOperation.END:
                 await store.end_lease(request.lease)
     except TxnConflictError as conflict:
--- a/tests/model/store.py
+++ b/tests/model/store.py
@@ -70,10 +70,10 @@
     def grant_lease(self, ttl: timedelta) -> int:
         self._next_lease += 1
         self._ttl_by_lease[self._next_lease] = ttl
-        self.keep_lease(self._next_lease)
+        self.renew_lease(self._next_lease)
         return self._next_lease
 
-    def keep_lease(self, lease: int) -> None:
+    def renew_lease(self, lease: int) -> None:
         if lease not in self._ttl_by_lease:
             raise LeaseLostError
         self._expiry_by_lease[lease] = self.clock.boot_time() + self._ttl_by_lease[lease]
@@ -193,10 +193,10 @@
         await self._reach()
         return self._store.grant_lease(ttl)
 
-    async def keep_lease(self, lease: int) -> None:
+    async def renew_lease(self, lease: int) -> None:
         await self._reach()
         self._store.expire()
-        self._store.keep_lease(lease)
+        self._store.renew_lease(lease)
 
     async def end_lease(self, lease: int) -> None:
         await self._reach()
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -109,10 +109,10 @@
 def test_lease_that_has_ended_is_told():
     async def scenario(client, model):
         lease = await client.grant_lease(timedelta(seconds=5))
-        await client.keep_lease(lease)
+        await client.renew_lease(lease)
         model.end_lease(lease)
         with pytest.raises(LeaseLostError):
-            await client.keep_lease(lease)
+            await client.renew_lease(lease)
         with pytest.raises(LeaseLostError):
             await client.commit(Txn({}, (Put("a", b"", lease),)))
 
--- a/tests/platform/wire_server.py
+++ b/tests/platform/wire_server.py
@@ -73,7 +73,7 @@
             store.end_lease(int(path.rpartition("/")[2]))
             return web.json_response({})
         try:
-            store.keep_lease(int(path.rpartition("/")[2]))
+            store.renew_lease(int(path.rpartition("/")[2]))
         except LeaseLostError:
             return web.json_response({}, status=404)
         return web.json_response({"ttl-ms": 1000})
