--- a/hornbeamramp/platform/callers.py
+++ b/hornbeamramp/platform/callers.py
@@ -13,7 +13,7 @@
 from hornbeamramp.ids import JobId
 from hornbeamramp.platform.decoding import decode_job
 from hornbeamramp.telemetry import prometheus_text
-from hornbeamramp.vm import CallerService, Cancelled, Node, UnavailableError
+from hornbeamramp.vm import CallerService, CancelResult, Node, UnavailableError
 from hornbeamramp.workload import Target
 
 __all__ = ["CallerServer"]
@@ -133,7 +133,7 @@
             return _json(200, {"state": phase.value})
         if request.method == "DELETE":
             outcome = await self._service.cancel(target.queue, job_id, patience)
-            return _json(200 if outcome is Cancelled.CANCELLED else 410, {})
+            return _json(200 if outcome is CancelResult.CANCELLED else 410, {})
         return _json(405, {"error": f"method {request.method} is not known"})
 
     async def _submit(
--- a/hornbeamramp/vm/__init__.py
+++ b/hornbeamramp/vm/__init__.py
@@ -1,16 +1,21 @@
 """One entry VM: its lease, what it watches, the pools it owns, and the way to other VMs."""
 
 from hornbeamramp.vm.adapter import Adapter, AdviceClient, VmIdentity
-from hornbeamramp.vm.caller_service import CallerService, Cancelled, Submitted, UnavailableError
+from hornbeamramp.vm.caller_service import (
+    CallerService,
+    CancelResult,
+    SubmitResult,
+    UnavailableError,
+)
 from hornbeamramp.vm.node import Node
 
 __all__ = [
     "Adapter",
     "AdviceClient",
     "CallerService",
-    "Cancelled",
+    "CancelResult",
     "Node",
-    "Submitted",
+    "SubmitResult",
     "UnavailableError",
     "VmIdentity",
 ]
--- a/hornbeamramp/vm/caller_service.py
+++ b/hornbeamramp/vm/caller_service.py
@@ -30,7 +30,7 @@
 from hornbeamramp.vm.node import Node
 from hornbeamramp.workload import JobPhase, JobSpec, Queue
 
-__all__ = ["CallerService", "Cancelled", "Submitted", "UnavailableError"]
+__all__ = ["CallerService", "CancelResult", "SubmitResult", "UnavailableError"]
 
 # Longest wait of one call to an owner; a commit takes some 25 ms, and with a slow store 600 ms
 # behind the one under way.
@@ -63,14 +63,14 @@
         self.may_have_run = may_have_run
 
 
-class Submitted(msgspec.Struct, frozen=True):
+class SubmitResult(msgspec.Struct, frozen=True):
     """``refusal`` is empty if the job is recorded; else it is certain that it never runs."""
 
     refusal: str = ""
     retry_after: timedelta = timedelta(0)
 
 
-class Cancelled(Enum):
+class CancelResult(Enum):
     CANCELLED = "cancelled"
     ABSENT = "absent"
 
@@ -93,15 +93,15 @@
 
     async def submit(
         self, queue: Queue, job_id: JobId, spec: JobSpec, patience: timedelta
-    ) -> Submitted:
+    ) -> SubmitResult:
         """Has a job recorded. Raises `UnavailableError`; the job may be recorded then only if the
         error says so."""
         if self._node.isolation.is_isolated:
-            return Submitted("this VM is cut off from the others", ISOLATED_RETRY_AFTER)
+            return SubmitResult("this VM is cut off from the others", ISOLATED_RETRY_AFTER)
         if self._is_store_out():
-            return Submitted("the store can't be reached", return_after(queue, spec))
+            return SubmitResult("the store can't be reached", return_after(queue, spec))
         if self._node.config is None:
-            return Submitted("there is no configuration yet", CONFIG_RETRY_AFTER)
+            return SubmitResult("there is no configuration yet", CONFIG_RETRY_AFTER)
         version = self._node.config.version
         request = SubmitJobRequest(queue.pool, queue.name, version, job_id, spec)
         try:
@@ -109,10 +109,10 @@
         except UnavailableError as error:
             if error.may_have_run:
                 raise
-            return Submitted(str(error), OWNER_RETRY_AFTER)
+            return SubmitResult(str(error), OWNER_RETRY_AFTER)
         if reply.refusal and was_unclear:
             raise UnavailableError(reply.refusal, True)
-        return Submitted(reply.refusal, timedelta(milliseconds=reply.retry_after_ms))
+        return SubmitResult(reply.refusal, timedelta(milliseconds=reply.retry_after_ms))
 
     def _is_store_out(self) -> bool:
         since = self._node.store.failing_since
@@ -139,16 +139,16 @@
             raise UnavailableError(str(error), False) from error
         return None if record is None else JobPhase.QUEUED
 
-    async def cancel(self, queue: Queue, job_id: JobId, patience: timedelta) -> Cancelled:
+    async def cancel(self, queue: Queue, job_id: JobId, patience: timedelta) -> CancelResult:
         """Cancels a job. Raises `UnavailableError`."""
         request = CancelJobRequest(queue.pool, job_id)
         reply, _ = await self._ask_owner(request, self._on_cancel, patience)
         if reply.is_known:
-            return Cancelled.CANCELLED
+            return CancelResult.CANCELLED
         # A former owner that has not noticed its loss doesn't know the newest jobs.
         if await self._recorded_phase(queue.pool, job_id) is not None:
             raise UnavailableError("the job is known to another owner", False)
-        return Cancelled.ABSENT
+        return CancelResult.ABSENT
 
     async def pending(self, queue: Queue, patience: timedelta) -> int:
         """Returns how many jobs no task has started of. Raises `UnavailableError`."""
--- a/tests/model/cell.py
+++ b/tests/model/cell.py
@@ -22,7 +22,7 @@
     AdviceClient,
     CallerService,
     Node,
-    Submitted,
+    SubmitResult,
     UnavailableError,
     VmIdentity,
 )
@@ -319,7 +319,7 @@
 
     async def submit(
         self, job_id: str, spec: JobSpec, queue_name: str = "batch", vm: ModelVm | None = None
-    ) -> Submitted | None:
+    ) -> SubmitResult | None:
         """Submits at a VM; ``None`` stands for no definite answer."""
         identity = JobId(job_id)
         self.fleet.spec_by_job.setdefault(identity, spec)
--- a/tests/vm/test_cell.py
+++ b/tests/vm/test_cell.py
@@ -6,7 +6,7 @@
 import pytest
 
 from hornbeamramp.statestore import job_key, progress_key
-from hornbeamramp.vm import Cancelled, UnavailableError
+from hornbeamramp.vm import CancelResult, UnavailableError
 from hornbeamramp.vm.node import CLAIM_TICK
 from hornbeamramp.workload import JobPhase, StepSpec
 from tests.model.cell import PATIENCE, POOL, ModelCell, job
@@ -371,7 +371,7 @@
             outcome = await former.service.cancel(cell.queues["batch"], "9" * 16, PATIENCE)
         except UnavailableError:
             return
-        assert outcome is Cancelled.CANCELLED
+        assert outcome is CancelResult.CANCELLED
 
     in_cell(scenario)
 
--- a/tests/vm/test_guarantees_under_faults.py
+++ b/tests/vm/test_guarantees_under_faults.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from hornbeamramp.vm import Cancelled, UnavailableError
+from hornbeamramp.vm import CancelResult, UnavailableError
 from hornbeamramp.workload import TERMINAL_PHASES, JobPhase
 from tests.model.cell import PATIENCE, ModelCell, random_spec
 from tests.model.virtual_time import run_in_virtual_time
@@ -176,7 +176,7 @@
             outcome = await vm.service.cancel(self.cell.queues[queue], job_id, PATIENCE)
         except UnavailableError:
             return
-        assert outcome is Cancelled.CANCELLED, f"{job_id} was accepted and is not known"
+        assert outcome is CancelResult.CANCELLED, f"{job_id} was accepted and is not known"
         now = self.cell.clock.boot_time().total_seconds()
         self.cell.fleet.cancelled_at[job_id] = now
 
