--- a/hornbeamramp/statestore/__init__.py
+++ b/hornbeamramp/statestore/__init__.py
@@ -1,4 +1,4 @@
-"""Durable state in the platform's store: its contract, ownership and commits, and the records."""
+"""Durable state in the platform's store: the store's interface, pool ownership, and records."""
 
 from hornbeamramp.statestore.base import (
     Change,
--- a/hornbeamramp/statestore/base.py
+++ b/hornbeamramp/statestore/base.py
@@ -1,4 +1,4 @@
-"""Contract of the store that keeps what must outlive every process."""
+"""Interface of the store that keeps durable state."""
 
 from abc import ABC, abstractmethod
 from datetime import timedelta
@@ -19,8 +19,8 @@
 
 
 class Item(msgspec.Struct, frozen=True):
-    """A stored value. ``created`` and ``revision`` are the store's revisions of the first and the
-    last write of the key."""
+    """A stored value. ``created`` and ``revision`` are the store's revisions at which the key was
+    created and last written."""
 
     key: str
     value: bytes
@@ -51,7 +51,8 @@
 
 
 class Txn(msgspec.Struct, frozen=True):
-    """Writes that take effect together, if each required key has its revision (0: absent)."""
+    """Writes that take effect atomically if each key of ``revision_by_key`` has the revision given
+    there (0: absent)."""
 
     revision_by_key: dict[str, int]
     puts: tuple[Put, ...] = ()
@@ -63,7 +64,8 @@
 
 
 class TxnConflictError(Exception):
-    """A requirement did not hold and nothing was written. Holds the required keys' items."""
+    """A key did not have the required revision, and nothing was written. Holds the current items of
+    the required keys."""
 
     def __init__(self, item_by_key: dict[str, Item]) -> None:
         super().__init__(f"{len(item_by_key)} of the required keys exist")
@@ -75,45 +77,48 @@
 
 
 class WatchGapError(Exception):
-    """The history after the revision asked for is gone; read the prefix again."""
+    """The store no longer keeps the changes after the revision asked for; list the prefix again."""
 
 
 class StateStore(ABC):
     """Key-value store with transactions, leases and watches.
 
-    Each method raises `StoreUnavailableError` when there is no answer or a refusal; a write may
-    then have taken effect, or may take effect later, if the error's ``sent`` is true.
+    Each method raises `StoreUnavailableError` if the store does not answer or refuses the call. If
+    the error's ``sent`` is true, a write may have taken effect, or may still take effect later.
     """
 
-    # Most entries of one transaction.
+    # Maximum of required keys, puts and deletes in one transaction.
     max_entries = 32
 
     @abstractmethod
     async def get(self, key: str) -> Item | None:
-        """Returns the current item."""
+        """Returns the current item, ``None`` if there is no such key."""
 
     @abstractmethod
     async def range(self, prefix: str) -> tuple[list[Item], int]:
         """Returns all items under a prefix and the revision from which to watch it.
 
-        Pages are not a snapshot; the revision is that of the first page, so a watch from there
-        misses nothing.
+        The pages read are not one snapshot. The revision is that of the first page, so a watch from
+        there misses no change.
         """
 
     @abstractmethod
     async def watch(self, prefix: str, after: int, wait: timedelta) -> WatchReply:
-        """Waits for changes after a revision. Raises `WatchGapError`."""
+        """Returns the changes after a revision, and waits up to ``wait`` for the first.
+
+        Raises `WatchGapError`.
+        """
 
     @abstractmethod
     async def commit(self, txn: Txn) -> int:
         """Applies a transaction and returns its revision.
 
-        Raises `TxnConflictError`, and `LeaseLostError` if a put names a lease that has ended.
+        Raises `TxnConflictError`, and `LeaseLostError` if a put's lease has ended.
         """
 
     @abstractmethod
     async def grant_lease(self, ttl: timedelta) -> int:
-        """Creates a lease that ends ``ttl`` after its last renewal."""
+        """Creates a lease that expires ``ttl`` after its last renewal, and returns its id."""
 
     @abstractmethod
     async def renew_lease(self, lease: int) -> None:
@@ -121,4 +126,4 @@
 
     @abstractmethod
     async def end_lease(self, lease: int) -> None:
-        """Ends a lease at once."""
+        """Ends a lease and deletes its keys at once."""
--- a/hornbeamramp/statestore/claim.py
+++ b/hornbeamramp/statestore/claim.py
@@ -1,9 +1,9 @@
-"""Ownership of a pool: an owner key that others watch, and a chain key that each commit rewrites.
+"""Ownership of a pool: an owner key that VMs watch, and a chain key that each commit rewrites.
 
-Both are under the owner's lease. Each commit requires the revision that the previous one gave the
-chain key. So a commit of a former owner
-fails, and a commit whose answer was lost can be repeated as it is: either the repetition takes
-effect and the first can't any more, or the conflict shows the first one's sequence number.
+Both keys are under the owner's lease. Each commit is conditional on the revision that the previous
+commit gave the chain key. So a commit of a former owner fails, and a commit whose answer was lost
+can be repeated unchanged: either the repetition takes effect, and the first try no longer can, or
+it conflicts, and the chain key shows the sequence number of the first try.
 """
 
 from datetime import timedelta
@@ -26,15 +26,15 @@
 
 __all__ = ["ClaimLostError", "KeysExistError", "OwnerRecord", "PoolClaim"]
 
-# Pause before a commit is repeated after a failure: a few store round trips (4 ms each).
-RETRY_PAUSE = timedelta(milliseconds=50)
+# Delay before a failed commit is repeated: a few round trips to the store (4 ms each).
+RETRY_DELAY = timedelta(milliseconds=50)
 
 _log = logbook.Logger("claim")
 
 
 class OwnerRecord(msgspec.Struct, frozen=True):
-    """Value of an owner key, of a chain key and of a VM's key. ``boot`` tells processes of one VM
-    apart; ``size`` is the speed of the VM's processor, in usual cores."""
+    """Value of an owner key, of a chain key and of a VM's key. ``boot`` distinguishes successive
+    processes of one VM; ``size`` is the speed of the VM's processor, in standard cores."""
 
     vm: VmId
     boot: str
@@ -45,11 +45,11 @@
 
 
 class ClaimLostError(Exception):
-    """Another process owns the pool, or the owner key is gone."""
+    """Another process owns the pool, or the chain key no longer exists."""
 
 
 class KeysExistError(Exception):
-    """Keys that a commit was to create exist already. Nothing was written."""
+    """Keys that a commit would create already exist. Nothing was written."""
 
     def __init__(self, item_by_key: dict[str, Item]) -> None:
         super().__init__(", ".join(item_by_key))
@@ -57,11 +57,11 @@
 
 
 def decode_owner(value: bytes) -> OwnerRecord | None:
-    """Returns the record, or ``None`` if it can't be read."""
+    """Returns the record, or ``None`` if it can't be decoded."""
     try:
         return msgspec.json.decode(value, type=OwnerRecord)
     except msgspec.MsgspecError as error:
-        _log.warning("an owner record can't be read: {}", error)
+        _log.warning("owner record ignored, it can't be decoded: {}", error)
         return None
 
 
@@ -69,10 +69,12 @@
     """This process's claim on one pool.
 
     `token`
-        Fencing token: the revision at which the claim was created, so it grows with each owner.
+        Fencing token: the revision at which the claim was created, so it increases with each owner.
+    `failing_since`
+        Boot time of the first commit that got no answer since the last answer; ``None`` if none.
     """
 
-    # Entries of each commit that belong to the claim itself.
+    # Transaction entries of each commit that the claim itself uses.
     own_entries = 2
 
     def __init__(
@@ -80,34 +82,37 @@
         store: StateStore,
         clock: Clock,
         pool: PoolName,
-        identity: OwnerRecord,
+        owner_record: OwnerRecord,
         lease: int,
     ) -> None:
         self._store = store
         self._clock = clock
         self._owner_key = owner_key(pool)
         self._key = chain_key(pool)
-        self._record = identity
+        self._record = owner_record
         self._lease = lease
         self._revision = 0
         self.token = 0
         self.failing_since: timedelta | None = None
 
     async def acquire(self) -> bool:
-        """Creates the keys; false if they exist. Raises `StoreUnavailableError` with the outcome
-        unknown; a repeated call finds out."""
+        """Creates the keys and returns true, or returns false if another process has them.
+
+        Raises `StoreUnavailableError`; the keys may have been created then, which a repeated call
+        detects.
+        """
         value = msgspec.json.encode(self._record)
         puts = tuple(Put(key, value, self._lease) for key in (self._owner_key, self._key))
         try:
             self._revision = await self._store.commit(Txn({p.key: 0 for p in puts}, puts))
         except TxnConflictError as conflict:
-            return self._adopt(conflict.item_by_key.get(self._key))
+            return self._adopt_existing(conflict.item_by_key.get(self._key))
         except LeaseLostError:
             return False
         self.token = self._revision
         return True
 
-    def _adopt(self, item: Item | None) -> bool:
+    def _adopt_existing(self, item: Item | None) -> bool:
         record = None if item is None else decode_owner(item.value)
         if item is None or record is None or record.boot != self._record.boot:
             return False
@@ -118,7 +123,7 @@
     async def commit(
         self, puts: list[Put], deletes: list[str] | None = None, absent: list[str] | None = None
     ) -> None:
-        """Writes as the owner; retries until the outcome is known.
+        """Writes as the owner of the pool; retries until the outcome is known.
 
         Raises `ClaimLostError`, after which the outcome of this commit is unknown, and
         `KeysExistError` if a key of ``absent`` exists.
@@ -134,8 +139,8 @@
             except StoreUnavailableError as error:
                 if self.failing_since is None:
                     self.failing_since = self._clock.boot_time()
-                    _log.warning("commits to {} fail: {}", self._key, error)
-                await self._clock.sleep(RETRY_PAUSE)
+                    _log.warning("commits to {} fail, retrying: {}", self._key, error)
+                await self._clock.sleep(RETRY_DELAY)
             except LeaseLostError as error:
                 raise ClaimLostError(f"{self._key}: the lease has ended") from error
             except TxnConflictError as conflict:
@@ -143,20 +148,25 @@
                     break
                 existing = {k: i for k, i in conflict.item_by_key.items() if k != self._key}
                 if not existing:
-                    raise ClaimLostError(f"{self._key}: conflict without cause") from conflict
-                self._note_answer()
+                    raise ClaimLostError(
+                        f"{self._key}: the store reported a conflict, but no key differs"
+                    ) from conflict
+                self._end_outage()
                 raise KeysExistError(existing) from conflict
-        self._note_answer()
+        self._end_outage()
         self._record = record
 
-    def _note_answer(self) -> None:
+    def _end_outage(self) -> None:
         if self.failing_since is not None:
             outage = self._clock.boot_time() - self.failing_since
-            _log.info("commits to {} work again after {}", self._key, outage)
+            _log.info("commits to {} succeed again after {}", self._key, outage)
             self.failing_since = None
 
     def _resolve_conflict(self, conflict: TxnConflictError, record: OwnerRecord) -> bool:
-        """Tells whether an earlier try of the same commit had taken effect."""
+        """Tells whether an earlier try of the same commit has taken effect.
+
+        Raises `ClaimLostError`.
+        """
         item = conflict.item_by_key.get(self._key)
         current = None if item is None else decode_owner(item.value)
         if item is None or current is None or current.boot != record.boot:
@@ -164,16 +174,18 @@
         if item.revision == self._revision:
             return False
         if current.sequence != record.sequence:
-            raise ClaimLostError(f"{self._key}: at sequence {current.sequence}") from conflict
+            raise ClaimLostError(
+                f"{self._key}: at unexpected sequence {current.sequence}"
+            ) from conflict
         self._revision = item.revision
         return True
 
     async def release(self) -> None:
-        """Deletes the keys, if they are still this claim's."""
+        """Deletes the keys if they still belong to this claim."""
         keys = (self._owner_key, self._key)
         txn = Txn({self._key: self._revision}, deletes=keys)
         try:
             await self._store.commit(txn)
         except (StoreUnavailableError, TxnConflictError) as error:
-            # The lease's end removes the key in any case.
+            # The store deletes the keys in any case when the lease ends.
             _log.info("release of {} not confirmed: {!r}", self._key, error)
--- a/hornbeamramp/statestore/records.py
+++ b/hornbeamramp/statestore/records.py
@@ -1,7 +1,8 @@
-"""Records of jobs in the store. A job has one record as submitted and one of its progress.
+"""Records of jobs in the store: for each job, one as submitted and one of its progress.
 
-Both are msgpack. The progress record is rewritten by each commit that touches the job: before a
-task is started, before a worker may forget an end, and before a cancellation is acknowledged.
+Both are encoded as msgpack. Each commit that concerns a job rewrites its progress record: before a
+task is started, before a worker may forget the end of a task, and before a cancellation is
+acknowledged.
 """
 
 import msgspec
@@ -30,12 +31,14 @@
 ]
 
 ROOT = "hbr/"
-# Owners and VMs, which every process watches. What changes with each commit is kept elsewhere.
+# Prefix of the owner and VM records, which every process watches. Keys that change with each commit
+# have other prefixes, so that the watch does not report them.
 CELL_PREFIX = f"{ROOT}cell/"
 
 
 class JobRecord(msgspec.Struct, frozen=True):
-    """A job as accepted. ``accepted_ms`` is Unix time. The limits are those of its queue then."""
+    """A job as accepted. ``accepted_ms`` is Unix time; the limits are those of its queue at that
+    time."""
 
     job_id: JobId
     queue: RouteName
@@ -48,7 +51,8 @@
 
 
 class OpenTask(msgspec.Struct, frozen=True, array_like=True):
-    """A task that has been placed and is not done. ``worker`` is empty while it waits again."""
+    """A task that has been placed and is not done. ``worker`` is empty while it waits to be placed
+    again."""
 
     occurrence: int
     step: int
@@ -60,7 +64,7 @@
 
 
 class StepGrants(msgspec.Struct, frozen=True, array_like=True):
-    """What the advice service said of a step: workers asked about, and those that may run it."""
+    """The advice service's answer for a step: workers asked about, and those that may run it."""
 
     occurrence: int
     step: int
@@ -69,7 +73,7 @@
 
 
 class JobProgress(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What has happened to a job. ``done`` has rows of occurrence, step and task indices."""
+    """Progress of a job. ``done`` has rows of occurrence, step and indices of completed tasks."""
 
     phase: JobPhase = JobPhase.QUEUED
     done: tuple[tuple[int, int, tuple[int, ...]], ...] = ()
@@ -92,7 +96,7 @@
 
 
 def chain_key(pool: PoolName) -> str:
-    """Returns the key that each commit of a pool's owner rewrites."""
+    """Returns the key that each commit of a pool's owner rewrites, conditional on its revision."""
     return f"{ROOT}chain/{pool}"
 
 
