--- a/tests/statestore/test_claim.py
+++ b/tests/statestore/test_claim.py
@@ -1,4 +1,4 @@
-"""The claim of a pool and its chain of commits, under answers that are lost or late."""
+"""The claim of a pool and its conditional commits when answers are lost or late."""
 
 import asyncio
 from datetime import timedelta
@@ -12,7 +12,7 @@
 TTL = timedelta(seconds=60)
 
 
-class Bench:
+class StoreFixture:
     def __init__(self):
         self.clock = LoopClock()
         self.store = ModelStore(self.clock)
@@ -24,97 +24,97 @@
         return PoolClaim(view, self.clock, "pool", identity, lease), view, lease
 
 
-def on_bench(scenario):
+def run_scenario(scenario):
     async def main():
-        await scenario(Bench())
+        await scenario(StoreFixture())
 
     run_in_virtual_time(main())
 
 
 def test_only_one_of_two_claims_succeeds():
-    async def scenario(bench):
-        first, _, _ = bench.claim("a")
-        second, _, _ = bench.claim("b")
+    async def scenario(fixture):
+        first, _, _ = fixture.claim("a")
+        second, _, _ = fixture.claim("b")
         assert sorted(await asyncio.gather(first.acquire(), second.acquire())) == [False, True]
 
-    on_bench(scenario)
+    run_scenario(scenario)
 
 
 def test_token_grows_with_each_owner():
-    async def scenario(bench):
-        first, _, lease = bench.claim("a")
+    async def scenario(fixture):
+        first, _, lease = fixture.claim("a")
         await first.acquire()
         await first.commit([Put("x", b"1")])
-        bench.store.end_lease(lease)
-        second, _, _ = bench.claim("b")
+        fixture.store.end_lease(lease)
+        second, _, _ = fixture.claim("b")
         await second.acquire()
         assert second.token > first.token
 
-    on_bench(scenario)
+    run_scenario(scenario)
 
 
 def test_commit_whose_answer_is_lost_takes_effect_once():
-    async def scenario(bench):
-        claim, view, _ = bench.claim("a")
+    async def scenario(fixture):
+        claim, view, _ = fixture.claim("a")
         await claim.acquire()
         view.lost_share = 0.7
         for number in range(10):
             await claim.commit([Put("x", b"%d" % number)])
-        assert bench.store.item_by_key["x"].value == b"9"
-        writes = [change for change in bench.store.history if change.key == "x"]
+        assert fixture.store.item_by_key["x"].value == b"9"
+        writes = [change for change in fixture.store.history if change.key == "x"]
         assert len(writes) == 10
 
-    on_bench(scenario)
+    run_scenario(scenario)
 
 
 def test_late_commit_never_undoes_a_later_one():
-    async def scenario(bench):
-        claim, view, _ = bench.claim("a")
+    async def scenario(fixture):
+        claim, view, _ = fixture.claim("a")
         await claim.acquire()
         view.late_share = 0.5
         for number in range(10):
             await claim.commit([Put("x", b"%d" % number)])
         await asyncio.sleep(10.0)
-        assert bench.store.item_by_key["x"].value == b"9"
+        assert fixture.store.item_by_key["x"].value == b"9"
 
-    on_bench(scenario)
+    run_scenario(scenario)
 
 
 def test_former_owner_commits_nothing():
-    async def scenario(bench):
-        former, _, lease = bench.claim("a")
+    async def scenario(fixture):
+        former, _, lease = fixture.claim("a")
         await former.acquire()
-        bench.store.revoke(lease)
-        successor, _, _ = bench.claim("b")
+        fixture.store.revoke(lease)
+        successor, _, _ = fixture.claim("b")
         await successor.acquire()
         with pytest.raises(ClaimLostError):
             await former.commit([Put("x", b"former")])
-        assert "x" not in bench.store.item_by_key
+        assert "x" not in fixture.store.item_by_key
 
-    on_bench(scenario)
+    run_scenario(scenario)
 
 
 def test_existing_key_is_reported_and_the_next_commit_works():
-    async def scenario(bench):
-        claim, _, _ = bench.claim("a")
+    async def scenario(fixture):
+        claim, _, _ = fixture.claim("a")
         await claim.acquire()
-        bench.store.put("x", b"there")
+        fixture.store.put("x", b"there")
         with pytest.raises(KeysExistError) as error:
             await claim.commit([Put("x", b"new")], absent=["x"])
         assert list(error.value.item_by_key) == ["x"]
         await claim.commit([Put("y", b"new")])
-        assert bench.store.item_by_key["x"].value == b"there"
+        assert fixture.store.item_by_key["x"].value == b"there"
 
-    on_bench(scenario)
+    run_scenario(scenario)
 
 
 def test_outage_counts_as_over_also_when_the_next_commit_meets_a_conflict():
-    """The owner went on refusing jobs as if the store were away."""
+    """The owner kept refusing jobs as if the store were still unavailable."""
 
-    async def scenario(bench):
-        claim, view, _ = bench.claim("a")
+    async def scenario(fixture):
+        claim, view, _ = fixture.claim("a")
         await claim.acquire()
-        bench.store.put("x", b"there")
+        fixture.store.put("x", b"there")
         view.is_down = True
         commit = asyncio.create_task(claim.commit([Put("x", b"new")], absent=["x"]))
         await asyncio.sleep(1.0)
@@ -124,4 +124,4 @@
             await commit
         assert claim.failing_since is None
 
-    on_bench(scenario)
+    run_scenario(scenario)
--- a/tests/vm/test_advice_queue.py
+++ b/tests/vm/test_advice_queue.py
@@ -1,4 +1,4 @@
-"""Questions to the advice service, spread over VMs."""
+"""Requests to the advice service, distributed over VMs."""
 
 import asyncio
 from datetime import timedelta
@@ -21,19 +21,19 @@
 
 
 class SlowClient:
-    """Notes the order of the questions; each takes a while."""
+    """Records the workers of each call in order. Each call takes 100 ms."""
 
     def __init__(self):
-        self.asked = []
-        self.most_at_once = 0
-        self._open = 0
+        self.workers_by_call = []
+        self.max_concurrent_calls = 0
+        self._in_progress = 0
 
     async def ask(self, step, workers, timeout):
-        self.asked.append(workers)
-        self._open += 1
-        self.most_at_once = max(self.most_at_once, self._open)
+        self.workers_by_call.append(workers)
+        self._in_progress += 1
+        self.max_concurrent_calls = max(self.max_concurrent_calls, self._in_progress)
         await asyncio.sleep(0.1)
-        self._open -= 1
+        self._in_progress -= 1
         return Advice({}, SECOND)
 
 
@@ -53,37 +53,39 @@
         return AdviseReply("", {}, 1000)
 
 
-def spread(peers, names=("vm1", "vm2", "vm3")):
+def make_source(peers, names=("vm1", "vm2", "vm3")):
     queue = AdviceQueue(SlowClient())
-    return DistributedAdviceSource("vm0", queue, peers, lambda: {name: name for name in names}, LoopClock())
+    return DistributedAdviceSource(
+        "vm0", queue, peers, lambda: {name: name for name in names}, LoopClock()
+    )
 
 
-def test_one_vm_asks_one_question_at_a_time_and_the_urgent_first():
+def test_one_vm_makes_one_call_at_a_time_and_the_urgent_first():
     async def scenario():
         client = SlowClient()
         queue = AdviceQueue(client)
         asks = [queue.ask(STEP, [f"{p}"], p, SECOND) for p in (2, 2, 0, 1)]
         await asyncio.gather(*asks)
-        assert client.most_at_once == 1
-        assert client.asked == [["2"], ["0"], ["1"], ["2"]]
+        assert client.max_concurrent_calls == 1
+        assert client.workers_by_call == [["2"], ["0"], ["1"], ["2"]]
 
     run_in_virtual_time(scenario())
 
 
-def test_questions_go_to_free_vms_in_parallel():
+def test_requests_go_to_free_vms_in_parallel():
     async def scenario():
         peers = Peers()
-        advice = spread(peers)
+        advice = make_source(peers)
         await asyncio.gather(*(advice.ask(STEP, [], CHEAP, 0, NO_DEFERRAL) for _ in range(4)))
         assert sorted(peers.called) == ["vm1", "vm2", "vm3"]
 
     run_in_virtual_time(scenario())
 
 
-def test_costly_questions_leave_vms_to_cheap_ones():
+def test_costly_requests_leave_vms_to_cheap_ones():
     async def scenario():
         peers = Peers()
-        advice = spread(peers)
+        advice = make_source(peers)
         costly = [
             asyncio.create_task(advice.ask(STEP, [], COSTLY, 1, NO_DEFERRAL)) for _ in range(10)
         ]
@@ -96,20 +98,21 @@
     run_in_virtual_time(scenario())
 
 
-def test_question_that_waits_for_a_failed_vm_is_asked_once_its_pause_is_over():
-    """With all VMs for costly questions paused and nothing new asked, it waited for ever."""
+def test_request_that_waits_for_a_failed_vm_is_sent_after_its_backoff():
+    """A waiting request was never sent if all VMs for costly requests were in back-off and no new
+    request arrived."""
 
     async def scenario():
         peers = Peers({"vm1", "vm2", "vm3"})
-        advice = spread(peers)
+        advice = make_source(peers)
         first = [advice.ask(STEP, [], COSTLY, 1, NO_DEFERRAL) for _ in range(6)]
 
-        async def mend():
+        async def restore():
             await asyncio.sleep(1.0)
             peers.failing.clear()
 
         async with asyncio.timeout(30):
-            results = await asyncio.gather(*first, mend(), return_exceptions=True)
+            results = await asyncio.gather(*first, restore(), return_exceptions=True)
         assert sum(isinstance(result, AdviceUnavailableError) for result in results) == 3
 
     run_in_virtual_time(scenario())
@@ -117,20 +120,20 @@
 
 def test_failure_is_reported_as_no_advice():
     async def scenario():
-        advice = spread(Peers({"vm1"}), ("vm1",))
+        advice = make_source(Peers({"vm1"}), ("vm1",))
         with pytest.raises(AdviceUnavailableError):
             await asyncio.gather(*(advice.ask(STEP, [], COSTLY, 0, NO_DEFERRAL) for _ in range(2)))
 
     run_in_virtual_time(scenario())
 
 
-def test_question_for_a_worker_that_stands_empty_goes_before_those_asked_ahead():
-    """After a takeover, questions ahead of room kept freed workers empty for up to three seconds
-    (hcjs-ramp scale-2)."""
+def test_request_for_an_idle_worker_precedes_requests_made_ahead():
+    """After a takeover, requests made in advance, before capacity was free, delayed those for idle
+    workers, which got no tasks for up to three seconds (hcjs-ramp scale-2)."""
 
     async def scenario():
         peers = Peers()
-        advice = spread(peers)
+        advice = make_source(peers)
         order = []
 
         async def ask(name, deferral):
@@ -140,20 +143,20 @@
         ahead = [asyncio.create_task(ask("ahead", timedelta(seconds=0.5))) for _ in range(8)]
         await asyncio.sleep(0)
         await asyncio.gather(ask("empty", NO_DEFERRAL), *ahead)
-        # Three of the four VMs take costly questions; those under way are not called back.
+        # Three of the four VMs accept costly requests; calls in progress are not cancelled.
         assert order.index("empty") <= 3
 
     run_in_virtual_time(scenario())
 
 
-def test_question_that_was_given_up_does_not_count_as_backlog():
-    """An owner was lost with a question waiting while no VM could take it. The next owner on that
-    VM took it for a backlog and asked nothing that was not urgent, so its pool stood still (hunt,
+def test_cancelled_request_does_not_count_as_backlog():
+    """An owner lost its claim while one of its requests waited for a VM. The next owner on that VM
+    counted it as backlog and sent only urgent requests, so its pool made no progress (hunt,
     owner-killed-store-silent, seed 437930158350)."""
 
     async def scenario():
-        # The own VM is kept for cheap questions, and the others are paused after they failed.
-        advice = spread(Peers({"vm1", "vm2"}), ("vm1", "vm2"))
+        # The own VM is reserved for cheap requests, and the others are in back-off after a failure.
+        advice = make_source(Peers({"vm1", "vm2"}), ("vm1", "vm2"))
         failed = (advice.ask(STEP, [], COSTLY, 1, NO_DEFERRAL) for _ in range(2))
         await asyncio.gather(*failed, return_exceptions=True)
         waiting = asyncio.create_task(advice.ask(STEP, [], COSTLY, 1, NO_DEFERRAL))
--- a/tests/vm/test_cell.py
+++ b/tests/vm/test_cell.py
@@ -1,4 +1,4 @@
-"""Whole cells in virtual time: jobs of every kind, and the failures of each part."""
+"""Whole cells in virtual time: jobs of every kind, and failures of each component."""
 
 import asyncio
 from datetime import timedelta
@@ -14,7 +14,7 @@
 
 
 def in_cell(scenario, **options):
-    """Runs a scenario in a new cell and checks that no worker saw a broken promise."""
+    """Runs a scenario in a new cell and checks that no worker recorded a violation."""
 
     async def main():
         async with ModelCell(**options) as cell:
@@ -59,7 +59,7 @@
     in_cell(scenario, granted=0.6)
 
 
-def test_more_work_than_room_is_done_one_after_the_other_without_overcommit():
+def test_work_beyond_capacity_is_queued_without_overcommit():
     async def scenario(cell):
         for number in range(20):
             await cell.submit(f"{number:016x}", job(StepSpec(8, 3000, 1000)))
@@ -81,7 +81,7 @@
 
 
 def test_job_recorded_after_its_caller_gave_up_still_runs():
-    """A commit slower than the caller's patience left the job recorded but never scheduled."""
+    """A job whose commit took longer than the caller's time-out was recorded, but not scheduled."""
 
     async def scenario(cell):
         owner = await cell.wait_for_owner()
@@ -90,7 +90,7 @@
         assert await cell.submit("8" * 16, job()) is None
         owner.store.commit_delay = timedelta(0)
         await cell.wait_for_phase("8" * 16, JobPhase.COMPLETED)
-        # A successor would have found the job in the store.
+        # The owner must be the same: a successor would have read the job from the store.
         assert owner.owner.token == token
 
     in_cell(scenario)
@@ -130,7 +130,7 @@
     in_cell(scenario)
 
 
-def test_draining_worker_gets_nothing_new_and_gives_its_long_running_task_away():
+def test_draining_worker_gets_no_new_tasks_and_its_long_running_task_moves():
     async def scenario(cell):
         await cell.submit("f" * 16, job(StepSpec(1, 1000, 100, long_running=True)))
         await cell.wait_for_phase("f" * 16, JobPhase.RUNNING)
@@ -181,7 +181,7 @@
 
 @pytest.mark.parametrize("large", ["vm0", "vm1", "vm2"])
 def test_largest_vm_owns_the_pool(large):
-    """Guards against an owner on a VM whose processor can't keep up with the pool's calls."""
+    """Guards against an owner on a VM whose processor is too slow for the pool's calls."""
 
     async def scenario(cell):
         assert cell.owner_vm().name == large
@@ -189,8 +189,8 @@
     in_cell(scenario, size_by_vm={large: 2.15})
 
 
-def test_store_that_turns_the_owner_away_is_reached_through_another_vm():
-    """The pool stood still until the owner's lease had run out and another VM had claimed it."""
+def test_store_that_refuses_the_owner_is_reached_through_another_vm():
+    """The pool made no progress until the owner's lease expired and another VM claimed it."""
 
     async def scenario(cell):
         owner = await cell.wait_for_owner()
@@ -206,7 +206,7 @@
     in_cell(scenario)
 
 
-def test_configuration_reaches_a_vm_that_the_store_turns_away():
+def test_configuration_reaches_a_vm_that_the_store_refuses():
     async def scenario(cell):
         vm = next(iter(cell.vm_by_name.values()))
         vm.store.is_down = True
@@ -218,7 +218,7 @@
 
 
 def test_vm_that_shuts_down_serves_its_callers_through_the_new_owner():
-    """It followed the cell no more and refused the callers of its open connections."""
+    """It no longer watched the cell's records, and refused callers on its open connections."""
 
     async def scenario(cell):
         leaving = await cell.wait_for_owner()
@@ -233,7 +233,7 @@
 
 
 def test_takeover_with_a_slow_store_takes_four_calls_in_a_row():
-    """With 300 ms a call, the reads of a takeover one after the other took two seconds."""
+    """The reads of a takeover ran one after the other and took two seconds at 300 ms a call."""
 
     async def scenario(cell):
         owner = await cell.wait_for_owner()
@@ -244,8 +244,11 @@
         del cell.vm_by_name[owner.name]
         started = cell.clock.boot_time()
         await cell.wait_for_owner()
-        # The release, its notice by the watch, the claim, and the reads; then the check's period.
-        assert cell.clock.boot_time() - started < timedelta(milliseconds=4 * 300) + CLAIM_CHECK_PERIOD
+        # The release, the watch call that reports it, the claim, and the reads in parallel, each a
+        # store call; then the period of the check for pools without an owner.
+        assert (
+            cell.clock.boot_time() - started < timedelta(milliseconds=4 * 300) + CLAIM_CHECK_PERIOD
+        )
         await released
 
     in_cell(scenario)
@@ -285,7 +288,7 @@
     in_cell(scenario)
 
 
-def test_start_without_answer_is_settled_before_the_task_starts_elsewhere():
+def test_start_without_answer_is_resolved_before_the_task_starts_elsewhere():
     async def scenario(cell):
         for vm in cell.vm_by_name.values():
             vm.workers.late_share = 0.3
@@ -298,7 +301,7 @@
     in_cell(scenario)
 
 
-def test_worker_reborn_under_its_id_runs_its_tasks_again():
+def test_worker_restarted_under_its_id_runs_its_tasks_again():
     async def scenario(cell):
         await cell.submit("6" * 16, job(StepSpec(8, 2000, 100, estimate_ms=3000)))
         await cell.wait_for_phase("6" * 16, JobPhase.RUNNING)
@@ -324,7 +327,7 @@
     in_cell(scenario)
 
 
-def test_keys_revoked_under_a_living_lease_make_one_new_owner():
+def test_keys_deleted_under_a_valid_lease_make_one_new_owner():
     async def scenario(cell):
         owner = await cell.wait_for_owner()
         await cell.submit("7" * 16, job(StepSpec(4, 1000, 100, estimate_ms=4000)))
@@ -338,8 +341,9 @@
     in_cell(scenario)
 
 
-def test_claim_whose_answer_was_lost_is_taken_up():
-    """The owner key named this process, which did not know that its claim had succeeded."""
+def test_claim_whose_answer_was_lost_is_adopted():
+    """The pool stayed without an owner: the answer to the claim was lost, and the process did not
+    detect that the owner key was its own."""
 
     async def scenario(cell):
         owner = await cell.wait_for_owner()
@@ -356,7 +360,8 @@
 
 
 def test_former_owner_does_not_deny_a_job_that_its_successor_accepted():
-    """A VM whose keys were revoked behind its back answered that the job did not exist."""
+    """A former owner that had not noticed the loss of its keys answered that the job did not
+    exist."""
 
     async def scenario(cell):
         former = await cell.wait_for_owner()
@@ -376,8 +381,8 @@
     in_cell(scenario)
 
 
-def test_draining_worker_is_left_under_steady_load_too():
-    """Periodic checks ran only when nothing else happened, so a busy owner never made them."""
+def test_long_running_task_leaves_a_draining_worker_under_steady_load_too():
+    """A busy owner never made its periodic checks, which ran only when no other event occurred."""
 
     async def scenario(cell):
         await cell.submit("f" * 16, job(StepSpec(1, 1000, 100, long_running=True)))
@@ -394,7 +399,7 @@
 
 
 def test_vm_without_a_configuration_refuses_definitely():
-    """A process that had just started raised an error instead (model seed 68)."""
+    """A VM that had just started raised an error instead of refusing the job (model seed 68)."""
 
     async def scenario(cell):
         vm = await cell.start_vm("vm9")
@@ -406,7 +411,8 @@
 
 @pytest.mark.parametrize("cut_s", [3.0, 3.5, 4.0, 4.5, 5.0, 5.5, 6.0, 6.5, 7.0, 7.5])
 def test_vm_cut_off_from_all_has_the_configuration_soon_after_the_cut(cut_s):
-    """A call through a silent VM, up to four seconds long, held the watch up after the cut."""
+    """After the partition, a call relayed through an unreachable VM blocked the watch for up to
+    four seconds."""
 
     async def scenario(cell):
         vm = next(iter(cell.vm_by_name.values()))
@@ -415,7 +421,7 @@
         await asyncio.sleep(cut_s)
         cell.configure()
         vm.store.is_down = False
-        # A probe a second, the time-out of one that was under way, and the answer.
+        # The probe period of a second, the time-out of a probe in progress, and the answer.
         await asyncio.sleep(2.0)
         assert vm.node.config.version == cell.version
 
@@ -423,7 +429,8 @@
 
 
 def test_job_that_may_still_be_recorded_is_not_refused():
-    """The caller's second try was told that the job never runs, and the first one was recorded."""
+    """The caller's second try was refused as if the job would never run, while the commit of the
+    first was in progress and took effect."""
 
     async def scenario(cell):
         vm = await cell.wait_for_owner()
@@ -443,12 +450,13 @@
     in_cell(scenario)
 
 
-def test_successor_knows_who_may_run_a_step_without_asking_all_again():
-    """After a takeover every waiting step was asked about anew for all workers, half a second for
-    each on a VM, and work stood still for up to three seconds (hcjs-ramp scale-2)."""
+def test_successor_reuses_the_recorded_grants_of_a_step():
+    """After a takeover, the owner requested advice again for all workers of each waiting step. Each
+    request takes a VM half a second, so no task started for up to three seconds (hcjs-ramp
+    scale-2)."""
 
     async def scenario(cell):
-        # Nothing fits beside it, so the steps behind it only wait.
+        # This job takes all capacity, so the steps behind it have to wait.
         await cell.submit("f" * 16, job(StepSpec(4, 8000, 100, estimate_ms=60_000)), "batch")
         await asyncio.sleep(0.5)
         for number in range(3):
@@ -466,8 +474,8 @@
 
 
 def test_with_a_slow_store_a_job_starts_with_the_commit_that_accepts_it():
-    """Its placement went into a second commit, and with 300 ms for each a quote was late before
-    its first task began (kaya-kantar trouble-2, second 9)."""
+    """The placement was written in a second commit. At 300 ms for each commit, a quote missed its
+    target before its first task started (kaya-kantar trouble-2, second 9)."""
 
     async def scenario(cell):
         owner = await cell.wait_for_owner()
@@ -482,8 +490,8 @@
     in_cell(scenario)
 
 
-def test_placement_of_a_job_that_is_recorded_already_is_given_back():
-    """Guards against a second run of a job whose record this owner can't read."""
+def test_placement_of_a_job_that_is_recorded_already_is_released():
+    """Guards against a second run of a job whose record this owner can't decode."""
 
     async def scenario(cell):
         owner = await cell.wait_for_owner()
@@ -498,9 +506,10 @@
     in_cell(scenario)
 
 
-def test_ticket_that_ran_out_during_a_slow_commit_is_renewed_with_the_room_kept():
-    """Starts were refused for want of a ticket, tried again after another commit and refused again:
-    273 of them with a store 75 times slower than usual (takeovers-under-slow-store)."""
+def test_ticket_that_expired_during_a_slow_commit_is_renewed_and_capacity_stays_reserved():
+    """Workers refused starts because the ticket had expired during the commit. Each retry needed
+    another commit and was refused again: 273 starts with a store 75 times slower than usual
+    (takeovers-under-slow-store)."""
 
     async def scenario(cell):
         owner = await cell.wait_for_owner()
@@ -517,7 +526,7 @@
         two_steps = job(SMALL, StepSpec(3, 1000, 100, after=(0,)))
         await cell.submit("a" * 16, two_steps, "gate", owner)
         await asyncio.sleep(0.3)
-        # Longer than the life of a ticket.
+        # Longer than a ticket is valid.
         owner.store.commit_delay = timedelta(milliseconds=2500)
         await cell.wait_for_phase("a" * 16, JobPhase.COMPLETED, 12.0, owner)
         assert invalid == []
@@ -526,8 +535,9 @@
 
 
 @pytest.mark.parametrize("vms", [1, 3])
-def test_workers_whose_entries_lapsed_with_the_store_are_used_until_they_had_time_to_return(vms):
-    """After an outage with lapsing entries an owner knew 4 of 25 workers (incident inc-20dd)."""
+def test_workers_whose_entries_expired_in_a_store_outage_are_used_for_a_grace_period(vms):
+    """After a store outage in which worker entries expired, an owner used only 4 of 25 workers
+    (incident inc-20dd)."""
 
     async def scenario(cell):
         vm = await cell.wait_for_owner()
@@ -543,7 +553,7 @@
         assert await cell.wait_for_owner() is vm
         await cell.submit("a" * 16, job(), vm=vm)
         await cell.wait_for_phase("a" * 16, JobPhase.COMPLETED, 1.0, vm)
-        # Those that have not returned by then are gone.
+        # Workers whose entries are still missing by then are no longer used.
         await asyncio.sleep(3.0)
         await cell.submit("b" * 16, job(), vm=vm)
         await asyncio.sleep(2.0)
--- a/tests/vm/test_isolation.py
+++ b/tests/vm/test_isolation.py
@@ -1,4 +1,4 @@
-"""When a VM counts as cut off, and what its callers are told then."""
+"""When a VM counts as isolated, and what its callers are answered then."""
 
 import asyncio
 from datetime import timedelta
@@ -14,14 +14,14 @@
 
 
 class Peers:
-    """VMs that answer a ping, and those that don't."""
+    """Peers of which only those in ``answering`` answer a ping."""
 
     def __init__(self, answering):
         self.answering = answering
-        self.asked = []
+        self.pinged = []
 
     async def call(self, address, request, timeout, step):
-        self.asked.append(address)
+        self.pinged.append(address)
         if address not in self.answering:
             await asyncio.sleep(timeout.total_seconds())
             raise UnreachableError(Step.FORWARD, address, "no answer")
@@ -29,12 +29,15 @@
         return PingReply()
 
 
-async def detect(answering, outside, store_age_s, seconds=2.0):
+async def detect(answering, ping_targets, store_age_s, seconds=2.0):
     """Runs a detector while the store's last answer has a constant age."""
     clock = LoopClock()
     peers = Peers(answering)
     detector = IsolationDetector(
-        peers, clock, lambda: clock.boot_time() - timedelta(seconds=store_age_s), lambda: outside
+        peers,
+        clock,
+        lambda: clock.boot_time() - timedelta(seconds=store_age_s),
+        lambda: ping_targets,
     )
     task = asyncio.create_task(detector.run())
     await asyncio.sleep(seconds)
@@ -43,35 +46,35 @@
 
 
 @pytest.mark.parametrize(
-    ("answering", "outside", "store_age_s", "expected"),
+    ("answering", "ping_targets", "store_age_s", "expected"),
     [
         (set(), ["a", "b"], 5.0, True),
         ({"b"}, ["a", "b"], 5.0, False),
         (set(), ["a", "b"], 0.3, False),
         (set(), [], 5.0, False),
     ],
-    ids=["all-silent", "store-away-for-all", "store-answers", "only-vm"],
+    ids=["all-silent", "store-down-for-all", "store-answers", "only-vm"],
 )
-def test_vm_is_cut_off_without_store_and_other_vms(answering, outside, store_age_s, expected):
-    is_isolated, _ = run_in_virtual_time(detect(answering, outside, store_age_s))
+def test_vm_is_cut_off_without_store_and_other_vms(answering, ping_targets, store_age_s, expected):
+    is_isolated, _ = run_in_virtual_time(detect(answering, ping_targets, store_age_s))
     assert is_isolated is expected
 
 
 def test_no_vm_is_pinged_while_the_store_answers():
     _, peers = run_in_virtual_time(detect({"a"}, ["a"], 0.4))
-    assert peers.asked == []
+    assert peers.pinged == []
 
 
 def test_all_vms_get_their_turn_to_be_pinged():
-    """A VM was taken as cut off although the one that was never asked could be reached."""
-    outside = [f"vm{number}" for number in range(20)]
-    is_isolated, peers = run_in_virtual_time(detect(set(), outside, 5.0, 4.0))
-    assert set(peers.asked) == set(outside)
+    """A VM counted as isolated although another VM, which was never pinged, was reachable."""
+    ping_targets = [f"vm{number}" for number in range(20)]
+    is_isolated, peers = run_in_virtual_time(detect(set(), ping_targets, 5.0, 4.0))
+    assert set(peers.pinged) == set(ping_targets)
     assert is_isolated
 
 
 def test_caller_in_a_data_centre_that_is_cut_off_is_refused_at_once_and_sent_elsewhere():
-    """Callers of a VM that was cut off waited a second each for as long as the cut lasted."""
+    """Each caller of an isolated VM waited a second for its answer until the partition ended."""
 
     async def scenario():
         async with ModelCell(vms=3) as cell:
@@ -95,7 +98,7 @@
     run_in_virtual_time(scenario())
 
 
-def test_vms_stay_ready_while_the_store_is_away_for_all():
+def test_vms_stay_ready_while_the_store_is_down_for_all():
     async def scenario():
         async with ModelCell(vms=3) as cell:
             for vm in cell.vm_by_name.values():
