--- a/hornbeamramp/statestore/claim.py
+++ b/hornbeamramp/statestore/claim.py
@@ -71,7 +71,7 @@
     `token`
         Fencing token: the revision at which the claim was created, so it increases with each owner.
     `failing_since`
-        Boot time of the first commit that got no answer since the last answer; ``None`` if none.
+        Boot time of the first commit without an answer; ``None`` once the store answers a commit.
     """
 
     # Transaction entries of each commit that the claim itself uses.
--- a/hornbeamramp/vm/advice_queue.py
+++ b/hornbeamramp/vm/advice_queue.py
@@ -29,7 +29,8 @@
 # Calls above this cost use only two thirds of the VMs. The others are reserved for cheap calls,
 # which are the urgent ones.
 COSTLY_CALL_THRESHOLD = timedelta(milliseconds=100)
-# Requests are ordered by age. A request counts as younger by this for each priority level.
+# Requests are ordered by age. A request counts as younger by this for each level of its priority,
+# of which 0 is the most urgent.
 DELAY_PER_PRIORITY_LEVEL = timedelta(seconds=1)
 
 # Period in which waiting requests check again for a free VM.
--- a/hornbeamramp/vm/caller_service.py
+++ b/hornbeamramp/vm/caller_service.py
@@ -136,7 +136,11 @@
             if reply.phase is not None:
                 return reply.phase
         except UnavailableError as error:
-            _log.info("job {}: owner did not answer, phase read from the store: {}", job_id, error)
+            _log.info(
+                "job {}: no answer from the pool's owner, phase read from the store: {}",
+                job_id,
+                error,
+            )
         return await self._stored_phase(queue.pool, job_id)
 
     async def _stored_phase(self, pool: PoolName, job_id: JobId) -> JobPhase | None:
@@ -158,7 +162,7 @@
         # A former owner that has not noticed the takeover lacks the newest jobs.
         if await self._stored_phase(queue.pool, job_id) is not None:
             raise UnavailableError(
-                "the job is recorded, but the VM asked no longer owns its pool", False
+                "the job is recorded, but the VM that answered as the owner lacks it", False
             )
         return CancelResult.ABSENT
 
--- a/hornbeamramp/vm/node.py
+++ b/hornbeamramp/vm/node.py
@@ -108,10 +108,12 @@
         )
         server.handle(PingRequest, self.isolation.serve)
         self._background = BackgroundTasks("node", _log)
-        self._config_cache = PrefixCache(self.store, clock, adapter.config_prefix, self._on_config)
-        self._cell_cache = PrefixCache(self.store, clock, CELL_PREFIX, self._on_cell)
+        self._config_cache = PrefixCache(
+            self.store, clock, adapter.config_prefix, self._on_config_change
+        )
+        self._cell_cache = PrefixCache(self.store, clock, CELL_PREFIX, self._on_cell_change)
         self._listing_cache: PrefixCache | None = None
-        self._claiming: set[PoolName] = set()
+        self._claims_in_progress: set[PoolName] = set()
         self._unowned_since: dict[PoolName, timedelta] = {}
         self._last_owner_by_pool: dict[PoolName, VmId] = {}
         self._undecodable_keys: set[str] = set()
@@ -157,7 +159,7 @@
 
     # Configuration
 
-    def _on_config(self, changed: set[str]) -> None:
+    def _on_config_change(self, changed: set[str]) -> None:
         if self.adapter.config_key not in changed:
             return
         item = self._config_cache.item_by_key.get(self.adapter.config_key)
@@ -236,7 +238,7 @@
         remote = [r for r in others if r.data_centre != self.identity.data_centre]
         return [record.address for record in remote or others]
 
-    def _on_cell(self, changed: set[str]) -> None:
+    def _on_cell_change(self, changed: set[str]) -> None:
         for pool, record in self._owner_records().items():
             self._last_owner_by_pool[pool] = record.vm
         for pool, owner in list(self.owner_by_pool.items()):
@@ -316,7 +318,7 @@
         )
 
     def _claim_if_unowned(self, pool: PoolName) -> None:
-        if pool in self.owner_by_pool or pool in self._claiming:
+        if pool in self.owner_by_pool or pool in self._claims_in_progress:
             return
         record = self.owner_record(pool)
         # A claim whose reply was lost may have taken effect; claiming again detects that.
@@ -326,14 +328,14 @@
             return
         now = self.clock.boot_time()
         recovered_at = self.store.recovered_at
-        store_just_recovered = (
+        has_store_just_recovered = (
             recovered_at is not None and now - recovered_at < LAST_OWNER_HEAD_START
         )
-        if store_just_recovered and self._last_owner_by_pool.get(pool) != self.identity.vm:
+        if has_store_just_recovered and self._last_owner_by_pool.get(pool) != self.identity.vm:
             return
         unowned_since = self._unowned_since.setdefault(pool, now)
         if is_claimed_here or now - unowned_since >= self._candidate_index(pool) * CANDIDATE_DELAY:
-            self._claiming.add(pool)
+            self._claims_in_progress.add(pool)
             self._background.spawn(self._acquire_and_run(pool))
 
     def _candidate_index(self, pool: PoolName) -> int:
@@ -349,7 +351,7 @@
             if record.vm in pool_count_by_vm:
                 pool_count_by_vm[record.vm] += 1
         # Counts this VM's claims that its copy of the cell's records doesn't contain yet, too.
-        pool_count_by_vm[self.identity.vm] = len({*self.owner_by_pool, *self._claiming})
+        pool_count_by_vm[self.identity.vm] = len({*self.owner_by_pool, *self._claims_in_progress})
         preference = rank(pool, dict.fromkeys(records, 1.0))
         order = sorted(preference, key=lambda vm: -records[vm].size / (pool_count_by_vm[vm] + 1))
         return order.index(self.identity.vm)
@@ -368,7 +370,7 @@
             _log.info("pool {}: store unavailable, outcome of the claim unknown: {}", pool, error)
             return
         finally:
-            self._claiming.discard(pool)
+            self._claims_in_progress.discard(pool)
         try:
             await asyncio.gather(self._cell_cache.refresh(), owner.start(self._load_listings))
             self._notify_cell()
@@ -388,14 +390,14 @@
                 self.store,
                 self.clock,
                 self.adapter.worker_prefix,
-                self._on_listings,
+                self._on_listing_change,
                 WORKER_WATCH_PAUSE,
             )
             self._background.spawn(self._listing_cache.run())
         await self._listing_cache.refresh()
         return self._decode_listings()
 
-    def _on_listings(self, changed: set[str]) -> None:
+    def _on_listing_change(self, changed: set[str]) -> None:
         self._apply_listings()
 
     def _apply_listings(self) -> None:
