--- a/hornbeamramp/claim.py
+++ b/hornbeamramp/claim.py
@@ -11,7 +11,7 @@
 
 from hornbeamramp.clock import Clock
 from hornbeamramp.errors import SchedulerError
-from hornbeamramp.evidence import Evidence, EvidenceCollector, ShardWitness
+from hornbeamramp.evidence import Evidence, EvidenceCollector, ShardObserver
 from hornbeamramp.ids import Epoch, ShardId
 from hornbeamramp.membership import MemberRecord, Membership, member_key
 from hornbeamramp.messages import HandOverRequest
@@ -52,7 +52,7 @@
         platform: Platform,
         records: ShardRecords,
         collector: EvidenceCollector,
-        witness: ShardWitness | None,
+        witness: ShardObserver | None,
         clock: Clock,
         timing: TimingSettings,
         note: Callable[[ShardId, StoredRecord], None],
--- a/hornbeamramp/evidence.py
+++ b/hornbeamramp/evidence.py
@@ -21,7 +21,7 @@
 from hornbeamramp.shard_records import ShardRecord
 from hornbeamramp.states import Step
 
-__all__ = ["Evidence", "EvidenceCollector", "ShardWitness", "WitnessReport"]
+__all__ = ["Evidence", "EvidenceCollector", "ShardObserver", "WitnessReport"]
 
 log = logbook.Logger("owner")
 
@@ -50,7 +50,7 @@
     answered: int
 
 
-class ShardWitness(Protocol):
+class ShardObserver(Protocol):
     """The upstreams of a shard as evidence. Both calls should return within one second."""
 
     async def observe(self, shard: ShardId) -> WitnessReport:
@@ -103,7 +103,7 @@
         clock: Clock,
         timing: TimingSettings,
         book: PromiseBook,
-        witness: ShardWitness | None,
+        witness: ShardObserver | None,
     ) -> None:
         self._membership = membership
         self._peers = peers
--- a/hornbeamramp/proofs.py
+++ b/hornbeamramp/proofs.py
@@ -9,7 +9,7 @@
 
 from hornbeamramp.clock import Clock
 from hornbeamramp.errors import ProtocolError, SchedulerError, UnreachableError
-from hornbeamramp.evidence import ShardWitness
+from hornbeamramp.evidence import ShardObserver
 from hornbeamramp.ids import Epoch, ShardId, VmId
 from hornbeamramp.lease import OwnershipProof
 from hornbeamramp.membership import Membership
@@ -52,7 +52,7 @@
         peers: PeerCaller,
         clock: Clock,
         timing: TimingSettings,
-        witness: ShardWitness | None,
+        witness: ShardObserver | None,
     ) -> None:
         self._membership = membership
         self._peers = peers
--- a/tests/fake_upstreams.py
+++ b/tests/fake_upstreams.py
@@ -30,7 +30,7 @@
 
 
 class Upstreams:
-    """Upstreams of all shards, as `ShardWitness` for each process.
+    """Upstreams of all shards, as `ShardObserver` for each process.
 
     `fences`, `labelled`
         Whether they support fences and show labels.
