--- a/hornbeamramp/evidence.py
+++ b/hornbeamramp/evidence.py
@@ -21,7 +21,7 @@
 from hornbeamramp.shard_records import ShardRecord
 from hornbeamramp.states import Step
 
-__all__ = ["Evidence", "EvidenceCollector", "ShardObserver", "WitnessReport"]
+__all__ = ["Evidence", "EvidenceCollector", "ShardObserver", "UpstreamReport"]
 
 log = logbook.Logger("owner")
 
@@ -30,7 +30,7 @@
 UNWITNESSED_WAIT = timedelta(seconds=60)
 
 
-class WitnessReport(msgspec.Struct, frozen=True):
+class UpstreamReport(msgspec.Struct, frozen=True):
     """What the upstreams of a shard show.
 
     `highest_epoch`
@@ -53,7 +53,7 @@
 class ShardObserver(Protocol):
     """The upstreams of a shard as evidence. Both calls should return within one second."""
 
-    async def observe(self, shard: ShardId) -> WitnessReport:
+    async def observe(self, shard: ShardId) -> UpstreamReport:
         """Reads the task lists of all known upstreams."""
         ...
 
@@ -158,7 +158,7 @@
         self,
         shard: ShardId,
         record: ShardRecord,
-        report: WitnessReport | None,
+        report: UpstreamReport | None,
         claimable_for: timedelta,
     ) -> Evidence | None:
         """Evidence without the consent of a member: none on record, or none reachable."""
@@ -175,7 +175,7 @@
         return Evidence(must_fence=True, highest_epoch=highest)
 
     @staticmethod
-    def _renewed_within(report: WitnessReport | None, duration: timedelta) -> bool:
+    def _renewed_within(report: UpstreamReport | None, duration: timedelta) -> bool:
         if report is None:
             return False
         return any(since < duration for since in report.since_renewal_by_epoch.values())
@@ -190,7 +190,7 @@
             log.debug("no answer from {} about {}: {}", vm, shard, error.message)
             return None
 
-    async def _observe(self, shard: ShardId) -> WitnessReport | None:
+    async def _observe(self, shard: ShardId) -> UpstreamReport | None:
         if self._witness is None:
             return None
         try:
--- a/hornbeamramp/ownership.py
+++ b/hornbeamramp/ownership.py
@@ -16,7 +16,7 @@
     ProtocolError,
     StoreUnavailableError,
 )
-from hornbeamramp.evidence import EvidenceCollector, ShardObserver, WitnessReport
+from hornbeamramp.evidence import EvidenceCollector, ShardObserver, UpstreamReport
 from hornbeamramp.handover import offer
 from hornbeamramp.ids import Epoch, LeaseId, ShardId, VmId, split_shard_id
 from hornbeamramp.lease import OwnershipProof
@@ -40,7 +40,7 @@
 from hornbeamramp.shard_state import ShardState
 from hornbeamramp.states import ProofKind
 
-__all__ = ["Gained", "Lost", "Ownership", "ShardObserver", "WitnessReport"]
+__all__ = ["Gained", "Lost", "Ownership", "ShardObserver", "UpstreamReport"]
 
 log = logbook.Logger("owner")
 
--- a/hornbeamramp/shards.py
+++ b/hornbeamramp/shards.py
@@ -25,7 +25,7 @@
     SubmitRequest,
 )
 from hornbeamramp.owner import ShardOwner
-from hornbeamramp.ownership import WitnessReport
+from hornbeamramp.ownership import UpstreamReport
 from hornbeamramp.platforms import Platform
 from hornbeamramp.settings import Settings
 from hornbeamramp.states import Capability, Step
@@ -158,7 +158,7 @@
         self._tables = tables
         self._open_upstream = open_upstream
 
-    async def observe(self, shard: ShardId) -> WitnessReport:
+    async def observe(self, shard: ShardId) -> UpstreamReport:
         """Lists all upstreams of the shard and sums up what their labels show."""
         replies = await self._for_each(shard, _list_upstream)
         listed = [reply for reply in replies if reply is not None]
@@ -169,7 +169,7 @@
                     epoch = task.labels.epoch
                     known = renewed_by_epoch.get(epoch, task.renewed_ago)
                     renewed_by_epoch[epoch] = min(known, task.renewed_ago)
-        return WitnessReport(
+        return UpstreamReport(
             highest_epoch=max(renewed_by_epoch, default=Epoch(0)),
             since_renewal_by_epoch=renewed_by_epoch,
             all_answered=len(listed) == len(replies),
--- a/tests/fake_upstreams.py
+++ b/tests/fake_upstreams.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from hornbeamramp.clock import ManualClock
-from hornbeamramp.evidence import WitnessReport
+from hornbeamramp.evidence import UpstreamReport
 from hornbeamramp.ids import Epoch, ShardId
 
 
@@ -45,11 +45,11 @@
         self.renewed_at_by_epoch: dict[Epoch, timedelta] = {}
         self.calls = 0
 
-    async def observe(self, shard: ShardId) -> WitnessReport:
+    async def observe(self, shard: ShardId) -> UpstreamReport:
         self.calls += 1
         await asyncio.sleep(0)
         now = self._clock.boot_time()
-        return WitnessReport(
+        return UpstreamReport(
             highest_epoch=max(self.renewed_at_by_epoch, default=Epoch(0)),
             since_renewal_by_epoch={e: now - t for e, t in self.renewed_at_by_epoch.items()},
             all_answered=self.all_answered,
@@ -73,7 +73,7 @@
         self._upstreams = upstreams
         self._pause = pause
 
-    async def observe(self, shard: ShardId) -> WitnessReport:
+    async def observe(self, shard: ShardId) -> UpstreamReport:
         report = await self._upstreams.observe(shard)
         await self._pause.passed()
         return report
