--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -21,7 +21,7 @@
 from hornbeamramp.peers import PeerCaller
 from hornbeamramp.platforms import Platform
 from hornbeamramp.settings import Settings
-from hornbeamramp.shards import OpenUpstream, OwnedShards, UpstreamWitness
+from hornbeamramp.shards import OpenUpstream, OwnedShards, UpstreamObserver
 from hornbeamramp.states import Step
 from hornbeamramp.store_budget import BudgetedPlatform
 from hornbeamramp.tables import Tables
@@ -96,7 +96,7 @@
             self._own_shards,
             self.shards.gained,
             self.shards.lost,
-            UpstreamWitness(lambda: self.configuration.tables, open_upstream),
+            UpstreamObserver(lambda: self.configuration.tables, open_upstream),
         )
         self.forwarder = Forwarder(settings, clock, self, peers.call, self.handle)
         self.cluster_status = ClusterStatus(
--- a/hornbeamramp/shards.py
+++ b/hornbeamramp/shards.py
@@ -33,7 +33,7 @@
 from hornbeamramp.telemetry import Metrics
 from hornbeamramp.upstreams import ListedTask, UpstreamAdapter
 
-__all__ = ["OpenUpstream", "OwnedShards", "UpstreamWitness"]
+__all__ = ["OpenUpstream", "OwnedShards", "UpstreamObserver"]
 
 _log = logbook.Logger("owner")
 
@@ -151,7 +151,7 @@
         return await owner.cancel(request)
 
 
-class UpstreamWitness:
+class UpstreamObserver:
     """Reads upstreams' task lists to find out whether another owner still serves a shard."""
 
     def __init__(self, tables: Callable[[], Tables], open_upstream: OpenUpstream) -> None:
