--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -218,7 +218,7 @@
         while self.membership.lease.id is None and self.settings.seed_peers:
             for address in self.settings.seed_peers:
                 try:
-                    await self.membership.introduce(address, PULL_TIMEOUT)
+                    await self.membership.send_heartbeat(address, PULL_TIMEOUT)
                 except (UnreachableError, ProtocolError) as error:
                     _log.debug("seed peer {}: {}", address, error.message)
                 else:
--- a/hornbeamramp/membership.py
+++ b/hornbeamramp/membership.py
@@ -326,7 +326,7 @@
             sent = self._clock.boot_time()
             timeout = min(interval, self._remote_beat)
             try:
-                reply = await self.introduce(member.peer_address, timeout)
+                reply = await self.send_heartbeat(member.peer_address, timeout)
                 member.heard_at = max(member.heard_at, sent)
                 member.revision = max(member.revision, reply.revision)
                 member.leaving = reply.state is MemberState.LEAVING
@@ -334,7 +334,7 @@
                 log.debug("no heartbeat reply from {}: {}", vm, error.message)
             await self._clock.sleep(sent + interval - self._clock.boot_time())
 
-    async def introduce(self, address: str, timeout: timedelta) -> HeartbeatReply:
+    async def send_heartbeat(self, address: str, timeout: timedelta) -> HeartbeatReply:
         """Sends a heartbeat to an address, of a member or of a peer named in the settings.
 
         Raises `UnreachableError` or `ProtocolError`.
