--- a/hornbeamramp/callbacks.py
+++ b/hornbeamramp/callbacks.py
@@ -25,11 +25,11 @@
 
     def gain(self, state: ShardState) -> None:
         """Calls ``gained`` once an earlier call of ``lost`` has ended."""
-        state.gaining = asyncio.ensure_future(self._call_gained(state, state.epoch))
+        state.gained_task = asyncio.ensure_future(self._call_gained(state, state.epoch))
 
     def lose(self, state: ShardState) -> asyncio.Task[None]:
         """Cancels a call of ``gained`` that still runs, and returns the call of ``lost``."""
-        gaining, state.gaining = state.gaining, None
+        gaining, state.gained_task = state.gained_task, None
         if gaining is not None:
             gaining.cancel()
         state.losing = asyncio.ensure_future(self._call_lost(state.id))
--- a/hornbeamramp/ownership.py
+++ b/hornbeamramp/ownership.py
@@ -156,8 +156,8 @@
                 group.create_task(self._follow_shards(group))
         finally:
             for state in self._shard_by_id.values():
-                if state.gaining is not None:
-                    state.gaining.cancel()
+                if state.gained_task is not None:
+                    state.gained_task.cancel()
 
     async def _follow_shards(self, group: asyncio.TaskGroup) -> None:
         """Starts a task for each new shard and releases those that are no longer listed."""
--- a/hornbeamramp/shard_state.py
+++ b/hornbeamramp/shard_state.py
@@ -57,7 +57,7 @@
         self.claimable_since: timedelta | None = None
         self.not_before = timedelta(0)
         self.allowed_at = timedelta(days=-1)
-        self.gaining: asyncio.Task[None] | None = None
+        self.gained_task: asyncio.Task[None] | None = None
         self.losing: asyncio.Task[None] | None = None
 
     def attempt(self) -> Attempt | None:
