--- a/hornbeamramp/callbacks.py
+++ b/hornbeamramp/callbacks.py
@@ -32,12 +32,12 @@
         gaining, state.gained_task = state.gained_task, None
         if gaining is not None:
             gaining.cancel()
-        state.losing = asyncio.ensure_future(self._call_lost(state.id))
-        return state.losing
+        state.lost_task = asyncio.ensure_future(self._call_lost(state.id))
+        return state.lost_task
 
     async def _call_gained(self, state: ShardState, epoch: Epoch) -> None:
-        if state.losing is not None:
-            await asyncio.wait({state.losing})
+        if state.lost_task is not None:
+            await asyncio.wait({state.lost_task})
         try:
             await self._gained(state.id, epoch)
         except Exception:
--- a/hornbeamramp/shard_state.py
+++ b/hornbeamramp/shard_state.py
@@ -58,7 +58,7 @@
         self.not_before = timedelta(0)
         self.allowed_at = timedelta(days=-1)
         self.gained_task: asyncio.Task[None] | None = None
-        self.losing: asyncio.Task[None] | None = None
+        self.lost_task: asyncio.Task[None] | None = None
 
     def attempt(self) -> Attempt | None:
         """Returns the claim of this process that the latest record seen belongs to."""
@@ -92,7 +92,7 @@
 
     def is_stopping(self, now: timedelta, send_bound: timedelta) -> bool:
         """Returns whether `lost` still runs or a last start may still be on its way."""
-        running = self.losing is not None and not self.losing.done()
+        running = self.lost_task is not None and not self.lost_task.done()
         return running or now < self.allowed_at + send_bound
 
     def may_promise(self, owner: VmId, epoch: Epoch) -> bool:
