--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -238,7 +238,7 @@
             before, available = available, self.membership.lease.store_available_for() is not None
             if available and not before:
                 _log.info("the store is available again")
-                await self.shards.store_returned()
+                await self.shards.on_store_available()
 
     async def _follow_vm_list(self) -> None:
         """Gives upstreams that the platform lists as leaving no new work."""
--- a/hornbeamramp/owner.py
+++ b/hornbeamramp/owner.py
@@ -233,7 +233,7 @@
         outcome = record.outcome.result() if record.outcome.done() else None
         return CancelReply(record.state(), outcome)
 
-    async def store_returned(self) -> None:
+    async def on_store_available(self) -> None:
         """Makes sure that the store has the journal as this owner last wrote it."""
         await self._durable.check()
 
--- a/hornbeamramp/shards.py
+++ b/hornbeamramp/shards.py
@@ -111,10 +111,10 @@
             if pool is not None:
                 owner.update_pool(pool)
 
-    async def store_returned(self) -> None:
+    async def on_store_available(self) -> None:
         """Lets each owner write its journal back before anyone else may claim the shard."""
         owners = list(self.owner_by_shard.values())
-        await asyncio.gather(*(owner.store_returned() for owner in owners))
+        await asyncio.gather(*(owner.on_store_available() for owner in owners))
 
     def vms_leaving(self, upstream_ids: set[UpstreamId]) -> None:
         """Gives upstreams no new work that the platform lists as leaving."""
