--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -245,5 +245,7 @@
         while True:
             with contextlib.suppress(StoreUnavailableError):
                 listed = await self.platform.list_vms()
-                self.shards.vms_leaving({UpstreamId(vm.vm_id) for vm in listed if vm.leaving})
+                self.shards.set_upstreams_leaving(
+                    {UpstreamId(vm.vm_id) for vm in listed if vm.leaving}
+                )
             await self.clock.sleep(VM_LIST_INTERVAL)
--- a/hornbeamramp/shards.py
+++ b/hornbeamramp/shards.py
@@ -116,7 +116,7 @@
         owners = list(self.owner_by_shard.values())
         await asyncio.gather(*(owner.on_store_available() for owner in owners))
 
-    def vms_leaving(self, upstream_ids: set[UpstreamId]) -> None:
+    def set_upstreams_leaving(self, upstream_ids: set[UpstreamId]) -> None:
         """Gives upstreams no new work that the platform lists as leaving."""
         for owner in self.owner_by_shard.values():
             for upstream_id in upstream_ids:
