--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -112,7 +112,7 @@
         )
         self.cluster_status.observe(self.metrics)
         self.configuration.subscribe(self._on_tables)
-        self.membership.listen(self._on_heartbeat)
+        self.membership.add_heartbeat_listener(self._on_heartbeat)
         self._peers = peers
         self._pulling = False
         self._handler_by_type = self._handlers()
--- a/hornbeamramp/membership.py
+++ b/hornbeamramp/membership.py
@@ -137,7 +137,7 @@
         finally:
             self._task_by_peer.clear()
 
-    def listen(self, listener: Callable[[Heartbeat], None]) -> None:
+    def add_heartbeat_listener(self, listener: Callable[[Heartbeat], None]) -> None:
         """Calls ``listener`` with each heartbeat that arrives."""
         self._beat_listeners.append(listener)
 
--- a/hornbeamramp/ownership.py
+++ b/hornbeamramp/ownership.py
@@ -99,7 +99,7 @@
         self._task_by_shard: dict[ShardId, asyncio.Task[None]] = {}
         self._synced = False
         self._closing = False
-        membership.listen(self._on_beat)
+        membership.add_heartbeat_listener(self._on_beat)
 
     # Queries
 
