--- a/hornbeamramp/evidence.py
+++ b/hornbeamramp/evidence.py
@@ -1,4 +1,4 @@
-"""Evidence that the owner on record can't start work any more.
+"""Evidence that the recorded owner of a shard can no longer start work.
 
 The rules and the combinations of failures that they cover are listed in docs/ownership.md.
 """
@@ -16,7 +16,7 @@
 from hornbeamramp.membership import Membership
 from hornbeamramp.messages import AskOwnerReply, AskOwnerRequest
 from hornbeamramp.peers import PeerCaller
-from hornbeamramp.promises import PromiseBook
+from hornbeamramp.promises import PromiseTable
 from hornbeamramp.settings import TimingSettings
 from hornbeamramp.shard_records import ShardRecord
 from hornbeamramp.states import Step
@@ -26,12 +26,13 @@
 log = logbook.Logger("owner")
 
 ASK_TIMEOUT = timedelta(milliseconds=500)
-# Without the consent of a member and the lists of all upstreams only time speaks for a claim.
-UNWITNESSED_WAIT = timedelta(seconds=60)
+# Minimum wait before a claim that neither a member's approval nor the labelled task lists of all
+# upstreams support.
+WAIT_WITHOUT_EVIDENCE = timedelta(seconds=60)
 
 
 class UpstreamReport(msgspec.Struct, frozen=True):
-    """What the upstreams of a shard show.
+    """Summary of the task lists of a shard's upstreams.
 
     `highest_epoch`
         Highest epoch in the labels of listed tasks, 0 if there is none.
@@ -40,7 +41,7 @@
     `all_answered`, `answered`
         Whether all known upstreams answered, and how many did.
     `all_labelled`
-        Whether all that answered show labels.
+        Whether all upstreams that answered support task labels.
     """
 
     highest_epoch: Epoch
@@ -51,7 +52,7 @@
 
 
 class ShardObserver(Protocol):
-    """The upstreams of a shard as evidence. Both calls should return within one second."""
+    """Reads and fences the upstreams of a shard. Calls should return within one second."""
 
     async def observe(self, shard: ShardId) -> UpstreamReport:
         """Reads the task lists of all known upstreams."""
@@ -60,40 +61,42 @@
     async def fence(self, shard: ShardId, epoch: Epoch) -> bool:
         """Makes the upstreams refuse starts with an epoch lower than ``epoch``.
 
-        Returns true if every reachable upstream did, false if one of them can't or already has a
-        higher fence.
+        Returns true if every reachable upstream accepted the fence, false if one of them doesn't
+        support fences or already has a higher one.
         """
         ...
 
 
 class Evidence(msgspec.Struct, frozen=True):
-    """The owner on record has stopped.
+    """Evidence that the recorded owner has stopped.
 
-    `until`
-        Boot time until which this holds, ``None`` if for good.
+    `valid_until`
+        Boot time at which the evidence expires, ``None`` if never.
     `must_fence`
-        It holds only after the upstreams have been fenced and one proof time has passed.
-    `new_members`
-        Whether the owner stopped by its own word, so that the members on record may be replaced.
+        Whether the claim is complete only after the upstreams have been fenced and one lease TTL,
+        the longest validity of a proof, has passed since.
+    `may_replace_members`
+        Whether the owner itself confirmed that it has stopped, or none was recorded, so that the
+        recorded members may be replaced.
     `highest_epoch`
         Highest epoch that the upstreams show.
     """
 
-    until: timedelta | None = None
+    valid_until: timedelta | None = None
     must_fence: bool = False
-    new_members: bool = False
+    may_replace_members: bool = False
     highest_epoch: Epoch = Epoch(0)
 
 
 class EvidenceCollector:
-    """Asks the owner on record, its members and the upstreams, for one process.
+    """Collects evidence from the recorded owner, the members in its record and the upstreams.
 
     `membership`, `peers`, `clock`
-        Addresses, caller of peers, source of time.
-    `book`
+        Addresses, client for peer calls, clock.
+    `promises`
         Promises given by this process.
-    `witness`
-        Upstreams of the shards; ``None`` if there are none to ask.
+    `observer`
+        Reads the upstreams of a shard; ``None`` if there are none to ask.
     """
 
     def __init__(
@@ -102,54 +105,60 @@
         peers: PeerCaller,
         clock: Clock,
         timing: TimingSettings,
-        book: PromiseBook,
-        witness: ShardObserver | None,
+        promises: PromiseTable,
+        observer: ShardObserver | None,
     ) -> None:
         self._membership = membership
         self._peers = peers
         self._clock = clock
-        self._book = book
-        self._witness = witness
-        self._term = timedelta(milliseconds=timing.lease_ttl_ms)
-        self._margin = timedelta(milliseconds=timing.drift_margin_ms)
-        self._renew = timedelta(milliseconds=timing.renew_ms)
-        self._task_lease = timedelta(milliseconds=timing.task_lease_ms)
+        self._promises = promises
+        self._observer = observer
+        self._lease_ttl = timedelta(milliseconds=timing.lease_ttl_ms)
+        self._drift_margin = timedelta(milliseconds=timing.drift_margin_ms)
+        self._renew_interval = timedelta(milliseconds=timing.renew_ms)
+        self._task_lease_duration = timedelta(milliseconds=timing.task_lease_ms)
 
     async def collect(
         self, shard: ShardId, record: ShardRecord, claimable_for: timedelta
     ) -> Evidence | None:
         """Returns evidence that the owner in ``record`` has stopped, ``None`` if there is none.
 
-        The caller has seen that the lease in the record has ended, ``claimable_for`` ago.
+        The caller has checked that the lease in the record has ended. ``claimable_for`` is the
+        time since the shard became claimable.
         """
-        sent = self._clock.boot_time()
+        sent_at = self._clock.boot_time()
         others = [vm for vm in record.members if vm != self._membership.vm]
         replies = await asyncio.gather(
             self._ask(shard, record.owner, record.peer_address),
             self._observe(shard),
             *(self._ask(shard, vm, self._address_of(vm)) for vm in others),
         )
-        incumbent, report, member_replies = replies[0], replies[1], replies[2:]
-        highest = report.highest_epoch if report else Epoch(0)
-        if incumbent is not None:
-            if incumbent.serving:
-                log.debug("{} still serves {}", record.owner, shard)
+        owner_reply, report, member_replies = replies[0], replies[1], replies[2:]
+        highest_epoch = report.highest_epoch if report else Epoch(0)
+        if owner_reply is not None:
+            if owner_reply.serving:
+                log.debug("{} still serves {}; not claiming", record.owner, shard)
                 return None
-            if incumbent.epoch >= record.epoch:
-                return Evidence(new_members=True, highest_epoch=highest)
-        consents = [r for r in member_replies if r is not None and not r.promised_for]
+            if owner_reply.epoch >= record.epoch:
+                return Evidence(may_replace_members=True, highest_epoch=highest_epoch)
+        approvals = [r for r in member_replies if r is not None and not r.promised_for]
         if any(reply.serving for reply in member_replies if reply is not None):
             return None
         if self._membership.vm in record.members:
-            left, _ = self._book.raise_barrier(shard, self._membership.vm)
-            if left > timedelta(0):
+            remaining, _ = self._promises.raise_barrier(shard, self._membership.vm)
+            if remaining > timedelta(0):
                 return None
-            consents.append(None)
-        if consents:
-            if claimable_for < 2 * self._term and self._renewed_within(report, 1.5 * self._renew):
-                log.debug("tasks of {} are still renewed", shard)
+            approvals.append(None)
+        if approvals:
+            if claimable_for < 2 * self._lease_ttl and self._renewed_within(
+                report, 1.5 * self._renew_interval
+            ):
+                log.debug("task leases of {} are still being renewed; not claiming", shard)
                 return None
-            return Evidence(until=sent + self._term - self._margin, highest_epoch=highest)
+            return Evidence(
+                valid_until=sent_at + self._lease_ttl - self._drift_margin,
+                highest_epoch=highest_epoch,
+            )
         if any(reply is not None for reply in member_replies):
             return None
         return self._from_upstreams(shard, record, report, claimable_for)
@@ -161,18 +170,18 @@
         report: UpstreamReport | None,
         claimable_for: timedelta,
     ) -> Evidence | None:
-        """Evidence without the consent of a member: none on record, or none reachable."""
-        if record.members and claimable_for < 2 * self._term:
+        """Evidence for a shard of which no member is recorded or none can be reached."""
+        if record.members and claimable_for < 2 * self._lease_ttl:
             return None
-        if self._renewed_within(report, self._task_lease):
+        if self._renewed_within(report, self._task_lease_duration):
             return None
         complete = report is not None and report.all_answered and report.all_labelled
         if not complete:
-            if claimable_for < UNWITNESSED_WAIT:
+            if claimable_for < WAIT_WITHOUT_EVIDENCE:
                 return None
-            log.warning("claiming {} after a wait, without evidence from upstreams", shard)
-        highest = report.highest_epoch if report else Epoch(0)
-        return Evidence(must_fence=True, highest_epoch=highest)
+            log.warning("claiming {} after the wait, without task lists of all upstreams", shard)
+        highest_epoch = report.highest_epoch if report else Epoch(0)
+        return Evidence(must_fence=True, highest_epoch=highest_epoch)
 
     @staticmethod
     def _renewed_within(report: UpstreamReport | None, duration: timedelta) -> bool:
@@ -187,16 +196,16 @@
         try:
             return await self._peers.call(address, request, ASK_TIMEOUT, Step.CLAIM)
         except (UnreachableError, ProtocolError) as error:
-            log.debug("no answer from {} about {}: {}", vm, shard, error.message)
+            log.debug("{} did not answer whether it owns {}: {}", vm, shard, error.message)
             return None
 
     async def _observe(self, shard: ShardId) -> UpstreamReport | None:
-        if self._witness is None:
+        if self._observer is None:
             return None
         try:
-            return await self._witness.observe(shard)
+            return await self._observer.observe(shard)
         except SchedulerError as error:
-            log.warning("upstreams of {} not read: {}", shard, error.message)
+            log.warning("could not list the upstreams of {}: {}", shard, error.message)
             return None
 
     def _address_of(self, vm: VmId) -> str | None:
--- a/hornbeamramp/membership.py
+++ b/hornbeamramp/membership.py
@@ -1,4 +1,4 @@
-"""Members of the cell: records in the store, heartbeats between peers, states."""
+"""Cluster membership: member records in the store, heartbeats between peers, member states."""
 
 import asyncio
 import math
@@ -23,27 +23,28 @@
 from hornbeamramp.settings import Settings
 from hornbeamramp.states import MemberState, Step
 
-__all__ = ["BeatContent", "Member", "MemberRecord", "Membership", "member_key"]
+__all__ = ["HeartbeatContent", "Member", "MemberRecord", "Membership", "member_key"]
 
 log = logbook.Logger("member")
 
 PREFIX = "members/"
-# A long poll makes the idle watch cost 0.05 calls per second.
+# With long polling, an idle watch costs 0.05 store calls per second.
 WATCH_WAIT = timedelta(seconds=20)
 WATCH_RETRY = timedelta(seconds=1)
 VM_LIST_INTERVAL = timedelta(seconds=10)
-# Two lost heartbeats in a row make a member suspect, four make it dead.
-SUSPECT_AFTER_BEATS = 2.5
-DEAD_AFTER_BEATS = 4.5
-# Heartbeats of one round go to this many members of each other data centre.
+# In heartbeat intervals: two lost heartbeats in a row make a member suspect, four make it dead.
+SUSPECT_AFTER_INTERVALS = 2.5
+DEAD_AFTER_INTERVALS = 4.5
+# In each round, heartbeats go to this many members of each other data centre.
 REMOTE_PEERS_PER_ROUND = 2
+# A member without a store record is removed after it has been silent for this long.
 FORGET_AFTER = timedelta(seconds=60)
 
-BeatContent = Callable[[], tuple[Revision, dict[ShardId, ShardBeat]]]
+HeartbeatContent = Callable[[], tuple[Revision, dict[ShardId, ShardBeat]]]
 
 
 class MemberRecord(msgspec.Struct, frozen=True):
-    """Value of ``members/{dc}/{vm}``. ``lease`` is the lease that it was written under."""
+    """Value of ``members/{dc}/{vm}``. ``lease`` is the store lease of the key."""
 
     vm: VmId
     data_centre: DataCentreId
@@ -54,14 +55,15 @@
 
 
 class Member(msgspec.Struct):
-    """What this process knows about a member, itself included.
+    """State that this process keeps of a member, itself included.
 
     `peer_address`
-        ``None`` if only a heartbeat of the member arrived and no record.
+        ``None`` if the member is known only by a heartbeat without an address.
     `lease`
-        Lease of its record in the store, ``None`` once the record has gone.
+        Lease of its record in the store, ``None`` if there is no record.
     `heard_at`
-        Boot time of this machine at the last sign of life.
+        Boot time of this machine at the last heartbeat received, or at which the last heartbeat
+        that the member answered was sent.
     """
 
     vm: VmId
@@ -84,14 +86,14 @@
 
 
 class Membership:
-    """Keeps this process a member and knows the others.
+    """Keeps this process registered as a member and tracks the other members.
 
     `settings`
         Identity, addresses, size and timing of this process.
     `platform`, `peers`, `clock`
-        Store, caller of peers, source of time.
-    `content`
-        Returns the revision in force and the shards served, for heartbeats.
+        Store, client for peer calls, clock.
+    `heartbeat_content`
+        Returns the configuration revision in force and the shards served, for heartbeats.
     """
 
     def __init__(
@@ -100,15 +102,17 @@
         platform: Platform,
         peers: PeerCaller,
         clock: Clock,
-        content: BeatContent,
+        heartbeat_content: HeartbeatContent,
     ) -> None:
         self._settings = settings
         self._platform = platform
         self._peers = peers
         self._clock = clock
-        self._content = content
-        self._beat = timedelta(milliseconds=settings.timing.heartbeat_ms)
-        self._remote_beat = timedelta(milliseconds=settings.timing.remote_heartbeat_ms)
+        self._heartbeat_content = heartbeat_content
+        self._heartbeat_interval = timedelta(milliseconds=settings.timing.heartbeat_ms)
+        self._remote_heartbeat_interval = timedelta(
+            milliseconds=settings.timing.remote_heartbeat_ms
+        )
         self.lease = ProcessLease(platform, clock, settings.timing, self._register)
         self.vm = settings.vm
         self.data_centre = settings.data_centre
@@ -124,10 +128,10 @@
             )
         }
         self._task_by_peer: dict[VmId, asyncio.Task[None]] = {}
-        self._beat_listeners: list[Callable[[Heartbeat], None]] = []
+        self._heartbeat_listeners: list[Callable[[Heartbeat], None]] = []
 
     async def run(self) -> None:
-        """Runs until cancelled: lease, watch, VM list, and one heartbeat task per peer."""
+        """Runs lease, store watch, VM listing and one heartbeat task per peer, until cancelled."""
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(self.lease.run())
@@ -138,11 +142,11 @@
             self._task_by_peer.clear()
 
     def add_heartbeat_listener(self, listener: Callable[[Heartbeat], None]) -> None:
-        """Calls ``listener`` with each heartbeat that arrives."""
-        self._beat_listeners.append(listener)
+        """Registers ``listener`` to be called with each heartbeat received."""
+        self._heartbeat_listeners.append(listener)
 
     def alive_in(self, data_centre: DataCentreId) -> list[Member]:
-        """Returns the members of a data centre that can take work, this process included."""
+        """Returns the alive members of a data centre, this process included."""
         self._refresh_states()
         return [
             member
@@ -150,8 +154,8 @@
             if member.data_centre == data_centre and member.state is MemberState.ALIVE
         ]
 
-    def roster(self) -> frozenset[VmId]:
-        """Returns the other members of this data centre that are registered or were heard of."""
+    def known_peers(self) -> frozenset[VmId]:
+        """Returns the other members of this data centre that are registered or not dead."""
         self._refresh_states()
         return frozenset(
             vm
@@ -168,12 +172,14 @@
         return member.state if member else None
 
     def beat_of(self, shard: ShardId) -> tuple[ShardBeat, VmId] | None:
-        """Returns the beat of ``shard`` with the highest epoch, and the member that sent it."""
+        """Returns the heartbeat entry of ``shard`` with the highest epoch, and its sender."""
         self._refresh_states()
         best: tuple[ShardBeat, VmId] | None = None
-        own = {self.vm: self._content()[1].get(shard)}
+        local_beat_by_vm = {self.vm: self._heartbeat_content()[1].get(shard)}
         for vm, member in self.by_id.items():
-            beat = own[vm] if vm in own else member.beat_by_shard.get(shard)
+            beat = (
+                local_beat_by_vm[vm] if vm in local_beat_by_vm else member.beat_by_shard.get(shard)
+            )
             if beat is None or member.state is MemberState.DEAD:
                 continue
             if best is None or beat.epoch > best[0].epoch:
@@ -181,40 +187,40 @@
         return best
 
     def revision_by_vm(self) -> dict[VmId, Revision]:
-        """Returns the revision in force at each member, as last heard."""
+        """Returns the revision in force at each member, by its last heartbeat."""
         revisions = {vm: member.revision for vm, member in self.by_id.items()}
-        revisions[self.vm] = self._content()[0]
+        revisions[self.vm] = self._heartbeat_content()[0]
         return revisions
 
     def set_leaving(self) -> None:
-        """Tells the others with the next heartbeat that this process takes no new work."""
+        """Marks this process as leaving; the next heartbeats tell the others."""
         self.leaving = True
         self._refresh_states()
 
-    def on_heartbeat(self, beat: Heartbeat) -> HeartbeatReply:
-        """Takes in a peer's heartbeat."""
-        if beat.vm != self.vm:
-            member = self.by_id.get(beat.vm)
+    def on_heartbeat(self, heartbeat: Heartbeat) -> HeartbeatReply:
+        """Updates the sender's state from its heartbeat and returns the reply."""
+        if heartbeat.vm != self.vm:
+            member = self.by_id.get(heartbeat.vm)
             if member is None:
-                log.info("{} appeared by heartbeat", beat.vm)
-                member = Member(beat.vm, beat.data_centre, self._clock.boot_time())
-                self.by_id[beat.vm] = member
-            if member.lease is None and beat.peer_address:
-                # Without the store there is no record to take the address from.
-                member.peer_address = beat.peer_address
+                log.info("new member {} discovered by heartbeat", heartbeat.vm)
+                member = Member(heartbeat.vm, heartbeat.data_centre, self._clock.boot_time())
+                self.by_id[heartbeat.vm] = member
+            if member.lease is None and heartbeat.peer_address:
+                # Without a store record, the heartbeat is the only source of the address.
+                member.peer_address = heartbeat.peer_address
             member.heard_at = self._clock.boot_time()
-            member.revision = beat.revision
-            member.leaving = beat.state is MemberState.LEAVING
-            member.beat_by_shard = beat.shards
-            for listener in self._beat_listeners:
-                listener(beat)
-        return HeartbeatReply(self._content()[0], self._own_state())
-
-    def _own_state(self) -> MemberState:
+            member.revision = heartbeat.revision
+            member.leaving = heartbeat.state is MemberState.LEAVING
+            member.beat_by_shard = heartbeat.shards
+            for listener in self._heartbeat_listeners:
+                listener(heartbeat)
+        return HeartbeatReply(self._heartbeat_content()[0], self._local_state())
+
+    def _local_state(self) -> MemberState:
         return MemberState.LEAVING if self.leaving else MemberState.ALIVE
 
     async def _register(self, lease: LeaseId) -> None:
-        own = self.by_id[self.vm]
+        local_member = self.by_id[self.vm]
         record = MemberRecord(
             vm=self.vm,
             data_centre=self.data_centre,
@@ -227,62 +233,62 @@
         try:
             await self._platform.put(key, msgspec.json.encode(record), None, lease)
         except ConflictError:
-            # A record under another lease must stay: it shows that an earlier process of this VM
-            # may still hold shards. It goes when that lease ends.
+            # A record under another lease must not be replaced: it shows that an earlier process of
+            # this VM may still own shards. The store removes it when that lease ends.
             entry = await self._platform.get(key)
             if entry is None or msgspec.json.decode(entry.value, type=MemberRecord) != record:
                 raise
-        own.lease = lease
-        log.info("{} registered under {}", self.vm, lease)
+        local_member.lease = lease
+        log.info("{} registered under lease {}", self.vm, lease)
 
     async def _watch(self, group: asyncio.TaskGroup) -> None:
         after = 0
         synced = False
         while True:
-            # The first call only reads: in an empty store a watch has nothing to return.
+            # The first call does not wait: on an empty store it would block for all of WATCH_WAIT.
             wait = WATCH_WAIT if synced else timedelta(0)
             try:
                 result = await self._platform.watch(PREFIX, after, wait)
             except StoreUnavailableError:
                 await self._clock.sleep(WATCH_RETRY)
                 continue
-            self._take_records(result, everything=not synced)
+            self._apply_records(result, is_full_listing=not synced)
             self._start_senders(group)
             after = result.revision
             synced = True
 
     def _start_senders(self, group: asyncio.TaskGroup) -> None:
-        """Starts a task for each peer with a known address that has none."""
+        """Starts a heartbeat task for each peer that has an address and no task yet."""
         for vm in self.by_id.keys() - self._task_by_peer.keys() - {self.vm}:
             if self.by_id[vm].peer_address is not None:
                 self._task_by_peer[vm] = group.create_task(self._send_heartbeats(vm))
 
-    def _take_records(self, result: WatchResult, everything: bool) -> None:
+    def _apply_records(self, result: WatchResult, is_full_listing: bool) -> None:
         present: set[VmId] = set()
         for entry in result.changed:
             try:
                 record = msgspec.json.decode(entry.value, type=MemberRecord)
             except msgspec.DecodeError as error:
-                log.error("unreadable record {}: {}", entry.key, error)
+                log.error("could not decode member record {}: {}", entry.key, error)
                 continue
             present.add(record.vm)
-            self._take_record(record)
-        gone = {VmId(key.rpartition("/")[2]) for key in result.deleted} - present
-        if everything:
-            gone |= self.by_id.keys() - present
-        for vm in gone - {self.vm}:
-            # The record ends with the lease; the member itself may live on without the store.
+            self._apply_record(record)
+        removed = {VmId(key.rpartition("/")[2]) for key in result.deleted} - present
+        if is_full_listing:
+            removed |= self.by_id.keys() - present
+        for vm in removed - {self.vm}:
+            # The record ends with the lease, but the member may still run without the store.
             if vm in self.by_id:
                 self.by_id[vm].lease = None
 
-    def _take_record(self, record: MemberRecord) -> None:
+    def _apply_record(self, record: MemberRecord) -> None:
         if record.vm == self.vm:
             return
         member = self.by_id.get(record.vm)
         if member is None:
             member = Member(record.vm, record.data_centre, self._clock.boot_time())
             self.by_id[record.vm] = member
-            log.info("{} in {} appeared in the store", record.vm, record.data_centre)
+            log.info("new member {} in {} discovered in the store", record.vm, record.data_centre)
         member.caller_address = record.caller_address
         member.peer_address = record.peer_address
         member.size = record.size
@@ -300,7 +306,7 @@
 
     async def _sweep(self, group: asyncio.TaskGroup) -> None:
         while True:
-            await self._clock.sleep(self._beat)
+            await self._clock.sleep(self._heartbeat_interval)
             self._refresh_states()
             self._start_senders(group)
             now = self._clock.boot_time()
@@ -308,58 +314,58 @@
                 if vm == self.vm or member.lease is not None or self.lease.id is None:
                     continue
                 if now - member.heard_at > FORGET_AFTER:
-                    log.info("{} forgotten", vm)
+                    log.info("member {} removed: no store record and no recent heartbeat", vm)
                     del self.by_id[vm]
                     if task := self._task_by_peer.pop(vm, None):
                         task.cancel()
 
     async def _send_heartbeats(self, vm: VmId) -> None:
-        """Sends heartbeats to one peer, one at a time."""
+        """Sends heartbeats to one peer, one at a time, until cancelled."""
         index = 0
         while True:
             member = self.by_id[vm]
             interval = self._interval_of(member)
             if index == 0 and member.data_centre != self.data_centre:
-                # Spreads the peers of a data centre over the rounds.
+                # Distributes the members of a remote data centre over the rounds.
                 await self._clock.sleep(self._phase_of(member))
             index += 1
-            sent = self._clock.boot_time()
-            timeout = min(interval, self._remote_beat)
+            sent_at = self._clock.boot_time()
+            timeout = min(interval, self._remote_heartbeat_interval)
             try:
                 reply = await self.send_heartbeat(member.peer_address, timeout)
-                member.heard_at = max(member.heard_at, sent)
+                member.heard_at = max(member.heard_at, sent_at)
                 member.revision = max(member.revision, reply.revision)
                 member.leaving = reply.state is MemberState.LEAVING
             except (UnreachableError, ProtocolError) as error:
                 log.debug("no heartbeat reply from {}: {}", vm, error.message)
-            await self._clock.sleep(sent + interval - self._clock.boot_time())
+            await self._clock.sleep(sent_at + interval - self._clock.boot_time())
 
     async def send_heartbeat(self, address: str, timeout: timedelta) -> HeartbeatReply:
-        """Sends a heartbeat to an address, of a member or of a peer named in the settings.
+        """Sends a heartbeat to the address of a member or of a seed peer from the settings.
 
         Raises `UnreachableError` or `ProtocolError`.
         """
-        revision, shards = self._content()
-        beat = Heartbeat(
+        revision, shards = self._heartbeat_content()
+        heartbeat = Heartbeat(
             self.vm,
             self.data_centre,
-            self._own_state(),
+            self._local_state(),
             revision,
             shards,
             self._settings.peer_address,
         )
-        return await self._peers.call(address, beat, timeout, Step.FORWARD)
+        return await self._peers.call(address, heartbeat, timeout, Step.FORWARD)
 
     def _interval_of(self, member: Member) -> timedelta:
-        """Returns the time between two heartbeats to a member."""
+        """Returns the interval of the heartbeats to a member."""
         if member.data_centre == self.data_centre:
-            return self._beat
+            return self._heartbeat_interval
         rounds = math.ceil(len(self._peers_in(member.data_centre)) / REMOTE_PEERS_PER_ROUND)
-        return self._remote_beat * max(rounds, 1)
+        return self._remote_heartbeat_interval * max(rounds, 1)
 
     def _phase_of(self, member: Member) -> timedelta:
         position = sorted(self._peers_in(member.data_centre)).index(member.vm)
-        return self._remote_beat * (position // REMOTE_PEERS_PER_ROUND)
+        return self._remote_heartbeat_interval * (position // REMOTE_PEERS_PER_ROUND)
 
     def _peers_in(self, data_centre: DataCentreId) -> list[VmId]:
         return [vm for vm, peer in self.by_id.items() if peer.data_centre == data_centre]
@@ -368,17 +374,17 @@
         now = self._clock.boot_time()
         for vm, member in self.by_id.items():
             if vm == self.vm:
-                member.state = self._own_state()
+                member.state = self._local_state()
                 continue
-            silence = (now - member.heard_at) / self._interval_of(member)
-            if silence > DEAD_AFTER_BEATS:
+            missed_intervals = (now - member.heard_at) / self._interval_of(member)
+            if missed_intervals > DEAD_AFTER_INTERVALS:
                 state = MemberState.DEAD
-            elif silence > SUSPECT_AFTER_BEATS:
+            elif missed_intervals > SUSPECT_AFTER_INTERVALS:
                 state = MemberState.SUSPECT
             elif member.leaving or member.listed_leaving:
                 state = MemberState.LEAVING
             else:
                 state = MemberState.ALIVE
             if state is not member.state:
-                log.info("{} is {}", vm, state.value)
+                log.info("member {} is {}", vm, state.value)
                 member.state = state
--- a/hornbeamramp/owner.py
+++ b/hornbeamramp/owner.py
@@ -1,4 +1,4 @@
-"""Runs one shard: admits jobs, carries out the scheduler's decisions, answers for their fate."""
+"""Runs one shard: admits jobs, executes scheduling decisions and reports job outcomes."""
 
 import asyncio
 import contextvars
@@ -49,12 +49,12 @@
 
 
 class ShardOwner:
-    """Runs one `ShardScheduler` against real upstreams, from claim to release.
+    """Runs one `ShardScheduler` against real upstreams, from the claim of the shard to its release.
 
     `may_start`
-        Synchronous check that this process still owns the shard.
+        Synchronous check that a start sent now arrives while this process owns the shard.
     `open_upstream`
-        Makes the adapter of an upstream.
+        Creates the adapter of an upstream.
     `durable`
         The shard's journal and key records.
     """
@@ -86,11 +86,11 @@
         self._accepting = True
         self._closed = asyncio.Event()
         self._recovered = asyncio.Event()
-        self._complete_recovery = False
-        self._work = asyncio.Event()
+        self._recovered_all_upstreams = False
+        self._wakeup = asyncio.Event()
         self._tasks = BackgroundTasks(shard, _log)
-        # Upstreams that leave by the word of the platform or the pool's row.
-        self._withdrawn: set[UpstreamId] = set()
+        # Upstreams that the platform lists as leaving or that the pool's row no longer has.
+        self._leaving_ids: set[UpstreamId] = set()
         self._events = UpstreamEvents(
             self._on_listed, self._on_shape, self._on_unreachable, self._on_usage
         )
@@ -101,7 +101,7 @@
             durable,
             self._tasks,
             lambda stop: self._executor.apply(stop),
-            self._work.set,
+            self._wakeup.set,
         )
         self.records = self._jobs.records
         runner = AttemptRunner(
@@ -124,7 +124,7 @@
             self.link_by_id,
             runner,
             self._tasks,
-            self._work.set,
+            self._wakeup.set,
         )
         self._reconciler = Reconciler(
             shard, epoch, clock, self.records, self.scheduler, self._executor
@@ -132,49 +132,52 @@
         self.update_pool(pool)
 
     async def run(self) -> None:
-        """Recovers, then decides until `close` is called."""
-        self._tasks.spawn(self._bound_recovery())
+        """Recovers the shard and makes scheduling decisions until `close` is called."""
+        self._tasks.spawn(self._limit_recovery_time())
         self._tasks.spawn(self._expire())
-        self._tasks.spawn(self._open_durable())
+        self._tasks.spawn(self._open_journal())
         while not self._closed.is_set():
-            await self._work.wait()
-            self._work.clear()
+            await self._wakeup.wait()
+            self._wakeup.clear()
             if self._accepting and self._may_start():
                 try:
                     self._decide()
                 except Exception:
-                    # One decision that fails must not end the shard's service.
-                    _log.exception("{}: a decision failed", self.shard)
+                    # A decision that fails must not stop the shard.
+                    _log.exception("{}: scheduling decision failed", self.shard)
 
     def update_pool(self, pool: Pool) -> None:
         """Adds and removes upstreams after a change of the pool's row."""
-        here = {UpstreamId(u.id): u for u in pool.upstreams if u.data_centre == self._data_centre}
-        for upstream_id in self.link_by_id.keys() - here.keys():
-            # Its tasks run on and stay renewed; it only receives no new work.
+        local_upstream_by_id = {
+            UpstreamId(u.id): u for u in pool.upstreams if u.data_centre == self._data_centre
+        }
+        for upstream_id in self.link_by_id.keys() - local_upstream_by_id.keys():
+            # Its tasks keep running and being renewed; it only receives no new work.
             self.set_leaving(upstream_id)
-        for upstream_id, upstream in here.items():
-            self._withdrawn.discard(upstream_id)
+        for upstream_id, upstream in local_upstream_by_id.items():
+            self._leaving_ids.discard(upstream_id)
             if upstream_id not in self.link_by_id:
                 self._add_link(upstream_id, self._open_upstream(upstream))
         self.scheduler.set_quotas(pool.quotas)
-        self._work.set()
+        self._wakeup.set()
 
     def set_leaving(self, upstream_id: UpstreamId) -> None:
-        """Gives the upstream no new work from now on."""
-        if upstream_id in self.link_by_id and upstream_id not in self._withdrawn:
-            self._withdrawn.add(upstream_id)
+        """Marks the upstream as leaving: it receives no new work."""
+        if upstream_id in self.link_by_id and upstream_id not in self._leaving_ids:
+            self._leaving_ids.add(upstream_id)
             self.scheduler.set_leaving(upstream_id)
 
     async def submit(self, request: SubmitRequest) -> SubmitReply:
-        """Runs a job to its outcome, or accepts it for later execution."""
+        """Runs a job and returns its outcome, or accepts it for asynchronous execution."""
         job = request.job
         record = self.records.get(job.id)
         if record is None:
             if self.records.is_refused(job.id):
                 return SubmitReply(NotRun(job.id, RefusalReason.RESOLVED_ABSENT, "resolved before"))
-            if not self._accepting or not self._may_start() or not self._has_listed():
+            if not self._accepting or not self._may_start() or not self._has_listed_upstream():
                 return SubmitReply(Misdirected())
-            # The sender may give up its call at any time; what is being recorded must be queued.
+            # The sender may cancel its call at any time; a job that is being recorded must still be
+            # queued.
             accepted = await asyncio.shield(self._jobs.accept(job))
             if isinstance(accepted, Err):
                 if isinstance(accepted.err_value, NotRun):
@@ -185,12 +188,16 @@
             return SubmitReply(None, accepted=record.job.id)
         return await self._outcome_of(record)
 
-    def _has_listed(self) -> bool:
-        """Tells whether any upstream is known; before that every job would be refused."""
+    def _has_listed_upstream(self) -> bool:
+        """Returns whether any upstream has been listed; without one, every job would be refused."""
         return self._recovered.is_set() or any(link.listed for link in self.link_by_id.values())
 
     async def resolve(self, request: ResolveRequest) -> ResolveReply:
-        """Tells the fate of a job id; one never seen is refused from now on."""
+        """Returns state and outcome of a job id.
+
+        An unknown id is refused from now on, if the request asks for it or the recovery was
+        incomplete.
+        """
         record = self.records.get(request.job_id)
         if record is None:
             if not self._jobs.is_settled() or self._closed.is_set():
@@ -200,8 +207,8 @@
             recorded = self._jobs.recorded_outcome(request.job_id)
             if recorded is not None:
                 return ResolveReply(state_of(recorded), recorded)
-            if not self._complete_recovery:
-                # An upstream that could not be listed may have run it; its lease has lapsed.
+            if not self._recovered_all_upstreams:
+                # An upstream that could not be listed may have run it; its task lease has expired.
                 self.records.refuse(request.job_id)
                 unknown = Unknown(request.job_id, "an upstream that may have run it is not reached")
                 return ResolveReply(JobState.UNKNOWN, unknown, may_repeat=True)
@@ -234,19 +241,19 @@
         return CancelReply(record.state(), outcome)
 
     async def on_store_available(self) -> None:
-        """Makes sure that the store has the journal as this owner last wrote it."""
+        """Ensures that the store has the journal as this owner last wrote it."""
         await self._durable.check()
 
     def beat(self) -> ShardBeat:
-        """Returns what the process's heartbeats tell about this shard."""
+        """Returns the entry of this shard for the heartbeats of the process."""
         waits = {band: self.scheduler.expected_wait(band) for band in Band}
         return ShardBeat(self.epoch, self._accepting and self._recovered.is_set(), waits)
 
     async def close(self) -> None:
-        """Stops deciding and renewing; waiting submits learn that another owner takes over."""
+        """Stops decisions and task renewals; waiting submits are told that the shard moves."""
         self._accepting = False
         self._closed.set()
-        self._work.set()
+        self._wakeup.set()
         await self._tasks.cancel()
         await self._durable.close()
         await close_adapters(list(self.link_by_id.values()))
@@ -257,11 +264,11 @@
             return SubmitReply(record.outcome.result())
         return SubmitReply(Misdirected(recovering=True))
 
-    async def _wait(self, record: JobRecord, longest: timedelta | None) -> None:
+    async def _wait(self, record: JobRecord, max_wait: timedelta | None) -> None:
         closed = asyncio.ensure_future(self._closed.wait())
         waits: set[asyncio.Future[Any]] = {record.outcome, closed}
-        if longest is not None:
-            waits.add(asyncio.ensure_future(self._clock.sleep(longest)))
+        if max_wait is not None:
+            waits.add(asyncio.ensure_future(self._clock.sleep(max_wait)))
         try:
             await asyncio.wait(waits, return_when=asyncio.FIRST_COMPLETED)
         finally:
@@ -273,7 +280,7 @@
         for decision in decisions:
             self._executor.apply(decision)
         if len(decisions) == DECISION_BATCH:
-            self._work.set()
+            self._wakeup.set()
 
     # Upstreams.
 
@@ -289,7 +296,7 @@
             self._events,
         )
         self.link_by_id[upstream_id] = link
-        # An empty context: the calls of the link belong to no request that is being traced.
+        # An empty context keeps the link's calls out of the trace of the current request.
         self._tasks.spawn(link.run(), contextvars.Context())
 
     async def _on_listed(
@@ -300,45 +307,49 @@
         self._reconciler.reconcile(link, tasks, first)
         link.listed = True
         self._check_recovered()
-        self._work.set()
+        self._wakeup.set()
 
     def _on_shape(self, link: UpstreamLink, shape: UpstreamShape) -> None:
         self._add_shape(link.id, shape)
-        self._work.set()
+        self._wakeup.set()
 
     def _add_shape(self, upstream_id: UpstreamId, shape: UpstreamShape) -> None:
         self.scheduler.add_upstream(shape)
-        if upstream_id in self._withdrawn:
+        if upstream_id in self._leaving_ids:
             self.scheduler.set_leaving(upstream_id)
 
     def _on_unreachable(self, link: UpstreamLink) -> None:
-        # No new work until the link has connected and listed again.
+        # It receives no new work until the link has connected and listed its tasks again.
         self.scheduler.set_leaving(link.id)
 
     def _on_usage(self, link: UpstreamLink, reports: list[UsageReport]) -> None:
         for report in reports:
             self.scheduler.report_usage(report.attempt_id, report.usage)
-        self._work.set()
+        self._wakeup.set()
 
     # Recovery and periodic work.
 
     def _check_recovered(self) -> None:
-        if not self._recovered.is_set() and all(x.listed for x in self.link_by_id.values()):
-            self._complete_recovery = True
+        if not self._recovered.is_set() and all(link.listed for link in self.link_by_id.values()):
+            self._recovered_all_upstreams = True
             self._recovered.set()
             _log.info("{}: recovered, epoch {}", self.shard, self.epoch)
 
-    async def _bound_recovery(self) -> None:
-        """Ends the recovery when the leases of unreachable upstreams must have lapsed."""
+    async def _limit_recovery_time(self) -> None:
+        """Ends the recovery once the task leases at unreachable upstreams must have expired."""
         self._check_recovered()
         margin = self._timing.drift_margin_ms + self._timing.send_bound_ms
         await self._clock.sleep(timedelta(milliseconds=self._timing.task_lease_ms + margin))
         if not self._recovered.is_set():
             missing = sorted(link.id for link in self.link_by_id.values() if not link.listed)
-            _log.warning("{}: recovered without {}", self.shard, ", ".join(missing))
+            _log.warning(
+                "{}: recovery ended without task lists of unreachable upstreams: {}",
+                self.shard,
+                ", ".join(missing),
+            )
             self._recovered.set()
 
-    async def _open_durable(self) -> None:
+    async def _open_journal(self) -> None:
         await self._durable.open(self.epoch)
         await self._recovered.wait()
         await self._jobs.merge_journal()
@@ -351,7 +362,7 @@
     def status(self) -> dict[str, Any]:
         """Returns the shard's state for operators."""
         snapshot = msgspec.to_builtins(self.scheduler.snapshot(), str_keys=True)
-        unreachable = {x.id for x in self.link_by_id.values() if not x.reachable}
+        unreachable = {link.id for link in self.link_by_id.values() if not link.reachable}
         for upstream in snapshot["upstreams"]:
             if upstream["id"] in unreachable:
                 upstream["state"] = UpstreamState.UNREACHABLE.value
--- a/hornbeamramp/ownership.py
+++ b/hornbeamramp/ownership.py
@@ -1,4 +1,4 @@
-"""Ownership of shards: claim, renewal, proofs without the store, hand-over.
+"""Shard ownership: claims, record updates, ownership proofs in store outages, and hand-over.
 
 The claim and the combinations of failures that it covers are described in docs/ownership.md.
 """
@@ -32,7 +32,7 @@
 )
 from hornbeamramp.peers import PeerCaller
 from hornbeamramp.platforms.base import Platform
-from hornbeamramp.promises import PromiseBook
+from hornbeamramp.promises import PromiseTable
 from hornbeamramp.proofs import PeerProofs
 from hornbeamramp.rendezvous import rank
 from hornbeamramp.settings import TimingSettings
@@ -46,24 +46,26 @@
 
 WATCH_WAIT = timedelta(seconds=20)
 WATCH_RETRY = timedelta(seconds=1)
-TICK = timedelta(milliseconds=500)
-# Each candidate waits this long for the one ranked before it.
+CHECK_INTERVAL = timedelta(milliseconds=500)
+# A candidate waits this long for each candidate that ranks before it, to avoid competing claims.
 RANK_DELAY = timedelta(seconds=1)
-ROSTER_INTERVAL = timedelta(seconds=1)
+# Minimum time between two rewrites of a record for a changed member list.
+MEMBERS_REWRITE_INTERVAL = timedelta(seconds=1)
 
 
 class Ownership:
-    """Claims and keeps the shards of this data centre that this process should serve.
+    """Claims the shards of this data centre that this process should serve, and keeps them.
 
     `membership`, `platform`, `peers`, `clock`, `timing`
-        Members and lease, store, caller of peers, source of time, intervals.
+        Members and process lease, store, client for peer calls, clock, intervals.
     `shards`
         Returns the ids of all shards of this data centre; the list may change at any time.
     `gained`, `lost`
-        Called when the process begins and stops to own a shard. `lost` is awaited before the
-        shard goes to another process, except where another one has already claimed it.
-    `witness`
-        Upstreams of the shards (default: none).
+        Called after the process has become the owner of a shard, and after it has stopped being
+        the owner. `lost` is awaited before the shard is released to another process, unless
+        another process has already claimed it.
+    `observer`
+        Reads the task lists of a shard's upstreams and fences them; ``None`` if there are none.
     """
 
     def __init__(
@@ -76,7 +78,7 @@
         shards: Callable[[], list[ShardId]],
         gained: Gained,
         lost: Lost,
-        witness: ShardObserver | None = None,
+        observer: ShardObserver | None = None,
     ) -> None:
         self._membership = membership
         self._platform = platform
@@ -84,32 +86,39 @@
         self._clock = clock
         self._shards = shards
         self._callbacks = Callbacks(gained, lost)
-        self._term = timedelta(milliseconds=timing.lease_ttl_ms)
+        self._lease_ttl = timedelta(milliseconds=timing.lease_ttl_ms)
         self._send_bound = timedelta(milliseconds=timing.send_bound_ms)
         own = membership.by_id[membership.vm]
         self._records = ShardRecords(platform, own.vm, own.peer_address)
-        self._book = PromiseBook(clock, self._term)
-        collector = EvidenceCollector(membership, peers, clock, timing, self._book, witness)
+        self._promises = PromiseTable(clock, self._lease_ttl)
+        collector = EvidenceCollector(membership, peers, clock, timing, self._promises, observer)
         self._claimer = Claimer(
-            membership, platform, self._records, collector, witness, clock, timing, self._note
+            membership,
+            platform,
+            self._records,
+            collector,
+            observer,
+            clock,
+            timing,
+            self._apply_record,
         )
-        self._proofs = PeerProofs(membership, peers, clock, timing, witness)
+        self._proofs = PeerProofs(membership, peers, clock, timing, observer)
         self._shard_by_id: dict[ShardId, ShardState] = {}
         self._record_by_id: dict[ShardId, StoredRecord] = {}
         self._task_by_shard: dict[ShardId, asyncio.Task[None]] = {}
         self._synced = False
         self._closing = False
-        membership.add_heartbeat_listener(self._on_beat)
+        membership.add_heartbeat_listener(self._on_heartbeat)
 
     # Queries
 
     @property
     def owned(self) -> dict[ShardId, Epoch]:
-        """Epochs of the owned shards. A shard stays owned while its proof has run out."""
+        """Epoch of each owned shard. A shard remains owned after its proof has expired."""
         return {s.id: s.epoch for s in self._shard_by_id.values() if s.epoch is not None}
 
     def proof(self, shard: ShardId) -> OwnershipProof | None:
-        """Returns the proof that lasts longest, ``None`` if the shard isn't owned."""
+        """Returns the proof with the latest expiry, ``None`` if not owned or without a proof."""
         state = self._shard_by_id.get(shard)
         if state is None or state.epoch is None:
             return None
@@ -117,25 +126,28 @@
         proofs = []
         if state.lease is not None and state.lease == lease.id:
             proofs.append(OwnershipProof(ProofKind.STORE, lease.valid_until))
-        without_store = self._proofs.find(shard, state.epoch, state.required)
-        if without_store is not None:
-            proofs.append(without_store)
+        peer_proof = self._proofs.find(shard, state.epoch, state.required_members)
+        if peer_proof is not None:
+            proofs.append(peer_proof)
         return max(proofs, key=lambda proof: proof.valid_until, default=None)
 
     def may_start(self, shard: ShardId) -> bool:
-        """Returns whether a start that is written now reaches the upstream under a valid proof.
+        """Returns whether a start request sent now reaches the upstream before the proof expires.
 
-        To be called right before the write, with no ``await`` in between.
+        Call it right before sending, with no ``await`` in between.
         """
         proof = self.proof(shard)
         now = self._clock.boot_time()
         if proof is None or now + self._send_bound > proof.valid_until:
             return False
-        self._shard_by_id[shard].allowed_at = now
+        self._shard_by_id[shard].last_start_allowed_at = now
         return True
 
     def owner_of(self, shard: ShardId) -> VmId | None:
-        """Returns the owner by the record or by a later heartbeat, ``None`` if unknown."""
+        """Returns the owner, ``None`` if unknown.
+
+        The source is the stored record, or a heartbeat with a higher epoch.
+        """
         state = self._shard_by_id.get(shard)
         if state is not None and state.epoch is not None:
             return self._membership.vm
@@ -148,44 +160,44 @@
     # Running
 
     async def run(self) -> None:
-        """Runs until cancelled: watch, proofs without the store, and one task per shard."""
+        """Runs the store watch, the proofs from peers and one task per shard, until cancelled."""
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(self._watch())
-                group.create_task(self._proofs.run(self._unproved))
-                group.create_task(self._follow_shards(group))
+                group.create_task(self._proofs.run(self._proof_requirements))
+                group.create_task(self._sync_shard_tasks(group))
         finally:
             for state in self._shard_by_id.values():
                 if state.gained_task is not None:
                     state.gained_task.cancel()
 
-    async def _follow_shards(self, group: asyncio.TaskGroup) -> None:
-        """Starts a task for each new shard and releases those that are no longer listed."""
+    async def _sync_shard_tasks(self, group: asyncio.TaskGroup) -> None:
+        """Starts a task for each new shard and releases shards that are no longer configured."""
         while True:
             wanted = set(self._shards())
             for shard in wanted - self._task_by_shard.keys():
                 self._state(shard)
-                self._task_by_shard[shard] = group.create_task(self._tend(shard))
+                self._task_by_shard[shard] = group.create_task(self._manage_shard(shard))
             for shard in self._task_by_shard.keys() - wanted:
                 self._task_by_shard.pop(shard).cancel()
                 await self.release(shard)
-            await self._clock.sleep(TICK)
+            await self._clock.sleep(CHECK_INTERVAL)
 
-    async def _tend(self, shard: ShardId) -> None:
-        """Claims and keeps one shard."""
+    async def _manage_shard(self, shard: ShardId) -> None:
+        """Claims one shard and keeps it, until cancelled."""
         state = self._state(shard)
         while True:
             try:
                 async with state.lock:
-                    await self._step(state)
+                    await self._update_ownership(state)
             except (StoreUnavailableError, ProtocolError) as error:
-                log.info("{}: {}", shard, error.message)
-            await self._clock.sleep(TICK)
+                log.info("{}: claim or record update failed: {}", shard, error.message)
+            await self._clock.sleep(CHECK_INTERVAL)
 
     async def _watch(self) -> None:
         after = 0
         while True:
-            # The first call only reads: in an empty store a watch has nothing to return.
+            # The first call does not wait: on an empty store it would block for all of WATCH_WAIT.
             wait = WATCH_WAIT if self._synced else timedelta(0)
             try:
                 result = await self._platform.watch(PREFIX, after, wait)
@@ -194,14 +206,14 @@
                 continue
             for entry in result.changed:
                 try:
-                    self._note(ShardId(entry.key.removeprefix(PREFIX)), decode(entry))
+                    self._apply_record(ShardId(entry.key.removeprefix(PREFIX)), decode(entry))
                 except ProtocolError as error:
-                    log.error("unreadable record: {}", error.message)
+                    log.error("could not decode shard record: {}", error.message)
             after = result.revision
             self._synced = True
 
-    def _note(self, shard: ShardId, stored: StoredRecord) -> None:
-        """Takes in a record read from the store, in whatever order reads return."""
+    def _apply_record(self, shard: ShardId, stored: StoredRecord) -> None:
+        """Applies a record read from the store; older versions than the known one are ignored."""
         known = self._record_by_id.get(shard)
         if known is not None and known.version >= stored.version:
             return
@@ -215,32 +227,34 @@
         if state.epoch is None or record.epoch < state.epoch:
             return
         if record.epoch > state.epoch or not self._records.is_own(record):
-            self._step_down(state, f"epoch {record.epoch} is with {record.owner}")
+            self._step_down(state, f"epoch {record.epoch} is owned by {record.owner}")
 
-    def _on_beat(self, beat: Heartbeat) -> None:
-        for shard, shard_beat in beat.shards.items():
+    def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
+        for shard, shard_beat in heartbeat.shards.items():
             state = self._shard_by_id.get(shard)
             if state is not None and state.epoch is not None and shard_beat.epoch > state.epoch:
-                self._step_down(state, f"{beat.vm} has epoch {shard_beat.epoch}")
+                self._step_down(state, f"{heartbeat.vm} has epoch {shard_beat.epoch}")
 
     def _state(self, shard: ShardId) -> ShardState:
         if shard not in self._shard_by_id:
             self._shard_by_id[shard] = ShardState(shard)
         return self._shard_by_id[shard]
 
-    def _unproved(self) -> dict[ShardId, tuple[Epoch, frozenset[VmId]]]:
-        """Returns the owned shards with their epochs and the members that must promise."""
+    def _proof_requirements(self) -> dict[ShardId, tuple[Epoch, frozenset[VmId]]]:
+        """Returns epoch and members whose promises a proof requires, for each owned shard."""
         return {
-            s.id: (s.epoch, s.required) for s in self._shard_by_id.values() if s.epoch is not None
+            s.id: (s.epoch, s.required_members)
+            for s in self._shard_by_id.values()
+            if s.epoch is not None
         }
 
-    # Keeping
+    # Keeping owned shards
 
-    async def _step(self, state: ShardState) -> None:
+    async def _update_ownership(self, state: ShardState) -> None:
         if state.epoch is None:
-            await self._consider_claim(state)
+            await self._claim_if_eligible(state)
             return
-        if self._proofs.superseded(state.id, state.epoch):
+        if self._proofs.is_superseded(state.id, state.epoch):
             self._step_down(state, "the upstreams show a higher epoch")
             return
         lease = self._membership.lease
@@ -248,107 +262,122 @@
             return
         now = self._clock.boot_time()
         stale = state.stored is None or state.stored.record.epoch < state.epoch
-        roster = self._membership.roster()
-        changed = roster != state.required and now - state.roster_at >= ROSTER_INTERVAL
+        known_peers = self._membership.known_peers()
+        changed = (
+            known_peers != state.required_members
+            and now - state.rewrite_attempted_at >= MEMBERS_REWRITE_INTERVAL
+        )
         if state.lease != lease.id or stale or changed:
-            state.roster_at = now
-            await self._rewrite(state, lease.id, roster)
+            state.rewrite_attempted_at = now
+            await self._rewrite_record(state, lease.id, known_peers)
 
-    async def _rewrite(self, state: ShardState, lease: LeaseId, roster: frozenset[VmId]) -> None:
-        """Writes the record of an owned shard anew, with the current lease and members."""
+    async def _rewrite_record(
+        self, state: ShardState, lease: LeaseId, known_peers: frozenset[VmId]
+    ) -> None:
+        """Rewrites the record of an owned shard with the current lease and members."""
         stored = await self._records.read(state.id)
         if stored is not None:
-            self._note(state.id, stored)
+            self._apply_record(state.id, stored)
         if state.epoch is None:
             return
         epoch = state.epoch
-        # Until the write is confirmed the store may hold either list.
-        state.required |= roster
-        record = self._records.new(epoch, lease, roster)
+        # Until the write is confirmed, the store may hold either member list, so both must promise.
+        state.required_members |= known_peers
+        record = self._records.new(epoch, lease, known_peers)
         written = await self._records.write(state.id, record, stored.version if stored else None)
         if written is None or state.epoch != epoch:
             return
-        self._note(state.id, written)
+        self._apply_record(state.id, written)
         state.lease = lease
-        state.required = roster
+        state.required_members = known_peers
 
     def _step_down(self, state: ShardState, reason: str) -> None:
-        """Stops to own a shard at once; `lost` is called by a task."""
+        """Relinquishes a shard at once and logs why; a task calls `lost`."""
         log.warning("no longer owner of {}: {}", state.id, reason)
-        self._give_up(state)
+        self._relinquish(state)
 
-    def _give_up(self, state: ShardState) -> asyncio.Task[None]:
-        """Stops to own a shard at once. Returns the task that calls `lost`."""
-        state.give_up()
+    def _relinquish(self, state: ShardState) -> asyncio.Task[None]:
+        """Relinquishes a shard at once. Returns the task that calls `lost`."""
+        state.relinquish()
         return self._callbacks.lose(state)
 
     # Claiming
 
-    async def _consider_claim(self, state: ShardState) -> None:
+    async def _claim_if_eligible(self, state: ShardState) -> None:
         lease = self._membership.lease
         now = self._clock.boot_time()
-        if not self._synced or not lease.is_valid() or self._closing or now < state.not_before:
+        if (
+            not self._synced
+            or not lease.is_valid()
+            or self._closing
+            or now < state.claim_not_before
+        ):
             return
         if not self._is_claimable(state):
             state.claimable_since = None
             return
         if state.claimable_since is None:
             state.claimable_since = now
-        sizes = {m.vm: m.size for m in self._membership.alive_in(self._membership.data_centre)}
-        order = rank(state.id, sizes)
+        size_by_vm = {m.vm: m.size for m in self._membership.alive_in(self._membership.data_centre)}
+        order = rank(state.id, size_by_vm)
         if self._membership.vm not in order:
             return
         if now - state.claimable_since >= order.index(self._membership.vm) * RANK_DELAY:
             await self._claim(state)
 
     def _is_claimable(self, state: ShardState) -> bool:
-        """Returns whether, by what is known, the shard has no owner."""
-        if state.stored is None or state.attempt() is not None:
+        """Returns whether the shard has no owner, according to the known record and heartbeats."""
+        if state.stored is None or state.current_attempt() is not None:
             return True
         record = state.stored.record
         beat = self._membership.beat_of(state.id)
         if beat is not None and beat[0].epoch > record.epoch:
             return False
-        if record.released or self._claimer.has_given_up(state, record):
+        if record.released or self._claimer.has_relinquished(state, record):
             return True
         owner = self._membership.by_id.get(record.owner)
         if owner is not None and owner.lease is not None and owner.lease == record.lease:
             return False
-        # Incumbents come first when the store returns.
+        # After a store outage the recorded owner gets one TTL to renew before others may claim.
         available = self._membership.lease.store_available_for()
-        return available is not None and available >= self._term
+        return available is not None and available >= self._lease_ttl
 
     async def _claim(self, state: ShardState, handed_over: HandOverRequest | None = None) -> bool:
-        """Claims a shard, with the lock held. Returns whether it is now owned."""
+        """Claims a shard. Returns whether it is now owned. The caller holds ``state.lock``."""
         claimed = await self._claimer.claim(state, handed_over)
         if claimed is None or self._closing:
             return False
-        state.own(claimed.epoch, claimed.record)
-        self._proofs.note_fence(state.id, claimed.fenced)
-        log.info("owner of {} with epoch {}", state.id, state.epoch)
+        state.acquire(claimed.epoch, claimed.record)
+        self._proofs.set_fenced(state.id, claimed.fenced)
+        log.info("claimed {} with epoch {}", state.id, state.epoch)
         self._callbacks.gain(state)
         return True
 
     # Releasing
 
     async def release(self, shard: ShardId) -> None:
-        """Stops to own a shard and marks its record as free. Not claimed again for three TTLs."""
+        """Relinquishes a shard and marks its record as released.
+
+        This process does not claim it again for three lease TTLs.
+        """
         state = self._state(shard)
-        state.not_before = self._clock.boot_time() + 3 * self._term
+        state.claim_not_before = self._clock.boot_time() + 3 * self._lease_ttl
         if state.epoch is None:
             return
         epoch = state.epoch
-        await self._give_up(state)
-        # A start written just before may still be on its way.
-        await self._clock.sleep(state.allowed_at + self._send_bound - self._clock.boot_time())
+        await self._relinquish(state)
+        # A start request sent just before may still be in transit to the upstream.
+        await self._clock.sleep(
+            state.last_start_allowed_at + self._send_bound - self._clock.boot_time()
+        )
         try:
             async with state.lock:
                 await self._records.release(shard, epoch)
         except (StoreUnavailableError, ProtocolError) as error:
-            log.info("release of {} not written: {}", shard, error.message)
+            log.info("could not mark {} as released in the store: {}", shard, error.message)
 
     async def hand_over_all(self) -> None:
-        """Releases all shards and tells the best candidate of each. For graceful shutdown."""
+        """Releases all shards and offers each to the best candidates, for a graceful shutdown."""
         self._closing = True
         await asyncio.gather(*(self._hand_over(shard, e) for shard, e in self.owned.items()))
 
@@ -359,33 +388,42 @@
     # Requests of peers
 
     def on_ask_owner(self, request: AskOwnerRequest) -> AskOwnerReply:
-        """Answers a candidate. Without a proof and without the store the shard is given up."""
+        """Tells a candidate whether this process still serves the shard.
+
+        An owner without a valid proof that can't reach the store relinquishes the shard.
+        """
         state = self._shard_by_id.get(request.shard)
         if state is not None and state.epoch is not None:
             reaches_store = self._membership.lease.store_available_for() is not None
             proof = self.proof(request.shard)
-            proved = proof is not None and self._clock.boot_time() <= proof.valid_until
-            if proved or reaches_store:
+            has_valid_proof = proof is not None and self._clock.boot_time() <= proof.valid_until
+            if has_valid_proof or reaches_store:
                 return AskOwnerReply(serving=True, epoch=state.epoch)
-            self._step_down(state, f"{request.candidate} reaches the store")
+            self._step_down(
+                state,
+                f"no valid proof and store unreachable; candidate {request.candidate} reaches it",
+            )
         if state is not None and state.is_stopping(self._clock.boot_time(), self._send_bound):
-            return AskOwnerReply(serving=True, epoch=state.given_up)
-        left, owner = self._book.raise_barrier(request.shard, request.candidate)
-        given_up = state.given_up if state is not None else Epoch(0)
-        return AskOwnerReply(False, given_up, promised_for=left, promised_to=owner)
+            return AskOwnerReply(serving=True, epoch=state.relinquished_epoch)
+        remaining, owner = self._promises.raise_barrier(request.shard, request.candidate)
+        relinquished_epoch = state.relinquished_epoch if state is not None else Epoch(0)
+        return AskOwnerReply(False, relinquished_epoch, promised_for=remaining, promised_to=owner)
 
     def on_promise(self, request: PromiseRequest) -> PromiseReply:
-        """Promises an owner not to claim its shards, except those it has reason to refuse."""
+        """Promises an owner not to claim its shards.
+
+        Shards with a conflicting claim, record, promise or barrier are left out.
+        """
         granted = [
             shard
             for shard, epoch in request.shards.items()
             if self._state(shard).may_promise(request.owner, epoch)
-            and self._book.grant(shard, request.owner, epoch, request.duration)
+            and self._promises.grant(shard, request.owner, epoch, request.duration)
         ]
         return PromiseReply(granted)
 
     async def on_hand_over(self, request: HandOverRequest) -> HandOverReply:
-        """Claims a shard that a leaving owner has released. Accepted once it is claimed."""
+        """Claims a shard that a leaving owner has released; accepts it only once it is claimed."""
         state = self._state(request.shard)
         if self._closing or not self._membership.lease.is_valid():
             return HandOverReply(False)
@@ -395,5 +433,5 @@
                     return HandOverReply(state.epoch > request.epoch)
                 return HandOverReply(await self._claim(state, request))
         except (StoreUnavailableError, ProtocolError) as error:
-            log.info("{} not taken over: {}", request.shard, error.message)
+            log.info("hand-over of {} failed: {}", request.shard, error.message)
             return HandOverReply(False)
--- a/hornbeamramp/peers.py
+++ b/hornbeamramp/peers.py
@@ -1,4 +1,4 @@
-"""Interface through which a process calls the other entry processes."""
+"""Interface for calls to other entry processes."""
 
 from datetime import timedelta
 from typing import Any, Protocol
@@ -15,6 +15,6 @@
         """Returns the reply struct that belongs to ``request``, see `hornbeamramp.messages`.
 
         ``address`` is the peer's ``ip:port``. Raises `UnreachableError` if there was no answer
-        within ``timeout``, and `ProtocolError` if the answer is malformed.
+        within ``timeout``, and `ProtocolError` if the reply is malformed.
         """
         ...
--- a/hornbeamramp/promises.py
+++ b/hornbeamramp/promises.py
@@ -1,4 +1,4 @@
-"""Promises not to claim a shard that this process has given to owners, and claims it allowed."""
+"""Promises to owners not to claim their shards, and barriers that protect claims in progress."""
 
 from datetime import timedelta
 
@@ -7,7 +7,7 @@
 from hornbeamramp.clock import Clock
 from hornbeamramp.ids import Epoch, ShardId, VmId
 
-__all__ = ["PromiseBook"]
+__all__ = ["PromiseTable"]
 
 
 class _Promise(msgspec.Struct):
@@ -16,33 +16,34 @@
     until: timedelta
 
 
-class PromiseBook:
+class PromiseTable:
     """Promises and barriers of this process, in memory only.
 
-    A promise tells an owner that this process won't claim or support a claim. A barrier is the
-    reverse: once a candidate has been told that no promise is outstanding, other owners get no
-    promise for ``term``, so that the candidate can complete its claim.
+    A promise to an owner means that this process neither claims the shard nor approves the claim
+    of another. A barrier is the opposite: once a candidate has been told that no promise is
+    outstanding, other owners get no promise for ``max_duration``, so that the candidate can
+    complete its claim.
 
-    A restarted process has forgotten both. For one ``term`` after its start it therefore neither
-    gives promises nor says that none is outstanding.
+    A restart loses both. For ``max_duration`` after its start, a process therefore neither gives
+    promises nor reports that none is outstanding.
 
     `clock`
-        Source of time.
-    `term`
-        Longest promise given and length of a barrier.
+        Clock whose boot time promises and barriers expire by.
+    `max_duration`
+        Maximum duration of a promise, and duration of a barrier.
     """
 
-    def __init__(self, clock: Clock, term: timedelta) -> None:
+    def __init__(self, clock: Clock, max_duration: timedelta) -> None:
         self._clock = clock
-        self._term = term
-        self._forgetful_until = clock.boot_time() + term
+        self._max_duration = max_duration
+        self._startup_hold_until = clock.boot_time() + max_duration
         self._promise_by_shard: dict[ShardId, dict[VmId, _Promise]] = {}
         self._barrier_by_shard: dict[ShardId, dict[VmId, timedelta]] = {}
 
     def grant(self, shard: ShardId, owner: VmId, epoch: Epoch, duration: timedelta) -> bool:
-        """Gives a promise from now for ``duration``. Returns false if it can't be given."""
+        """Gives ``owner`` a promise for ``duration`` from now. Returns false if it is refused."""
         now = self._clock.boot_time()
-        if now < self._forgetful_until or duration > self._term:
+        if now < self._startup_hold_until or duration > self._max_duration:
             return False
         barriers = self._barrier_by_shard.get(shard, {})
         if any(until > now for candidate, until in barriers.items() if candidate != owner):
@@ -54,21 +55,21 @@
         return True
 
     def outstanding(self, shard: ShardId, candidate: VmId) -> tuple[timedelta, VmId | None]:
-        """Returns how long promises to others than ``candidate`` still run, and to whom.
+        """Returns the longest time left of a promise to another than ``candidate``, and its owner.
 
-        The owner is ``None`` for promises that an earlier process of this VM may have given.
+        The owner is ``None`` for a promise that an earlier process of this VM may have given.
         """
         now = self._clock.boot_time()
-        left, owner = max(self._forgetful_until - now, timedelta(0)), None
+        remaining, owner = max(self._startup_hold_until - now, timedelta(0)), None
         for promise in self._promise_by_shard.get(shard, {}).values():
-            if promise.owner != candidate and promise.until - now > left:
-                left, owner = promise.until - now, promise.owner
-        return left, owner
+            if promise.owner != candidate and promise.until - now > remaining:
+                remaining, owner = promise.until - now, promise.owner
+        return remaining, owner
 
     def raise_barrier(self, shard: ShardId, candidate: VmId) -> tuple[timedelta, VmId | None]:
-        """Like `outstanding`; if nothing is, also refuses promises to others for one term."""
-        left, owner = self.outstanding(shard, candidate)
-        if left <= timedelta(0):
+        """Like `outstanding`; if there is none, refuses promises to others for ``max_duration``."""
+        remaining, owner = self.outstanding(shard, candidate)
+        if remaining <= timedelta(0):
             barriers = self._barrier_by_shard.setdefault(shard, {})
-            barriers[candidate] = self._clock.boot_time() + self._term
-        return left, owner
+            barriers[candidate] = self._clock.boot_time() + self._max_duration
+        return remaining, owner
--- a/hornbeamramp/recovery.py
+++ b/hornbeamramp/recovery.py
@@ -1,4 +1,4 @@
-"""Rebuilds an owner's state from the task list of an upstream."""
+"""Rebuilds the state of a shard's owner from the task lists of upstreams."""
 
 import logbook
 import msgspec
@@ -21,7 +21,7 @@
 
 
 class Reconciler:
-    """Accounts for the tasks that upstreams list, in scheduler and job records."""
+    """Enters the tasks that upstreams list into the scheduler and the job records."""
 
     def __init__(
         self,
@@ -40,11 +40,11 @@
         self._executor = executor
 
     def reconcile(self, link: UpstreamLink, tasks: list[ListedTask], first: bool) -> None:
-        """Accounts for every task of an upstream's list.
+        """Processes the task list of an upstream.
 
-        Tasks of this shard are adopted with the job from their labels. Use that can't be accounted
-        for stays allocated until its lease has lapsed. ``first`` tells whether this is the first
-        list of the upstream under this owner.
+        Tasks of this shard are adopted with the job from their labels. Resources of other running
+        tasks stay allocated until the task's lease has expired. ``first`` tells whether this is
+        the first list of the upstream under this owner.
         """
         for task in tasks:
             if task.attempt_id in link.attempts:
@@ -53,7 +53,7 @@
             if job is not None and self._is_adoptable(job, task):
                 self._adopt(link, job, task.attempt_id)
             elif task.state is TaskState.RUNNING:
-                self._hold(link, task)
+                self._hold_allocation(link, task)
                 if not first and self._is_leftover(task):
                     self._executor.apply(Stop(task.attempt_id, link.id))
 
@@ -64,11 +64,11 @@
         try:
             return _decoder.decode(labels.job)
         except msgspec.MsgspecError:
-            _log.warning("{}: unreadable job label", task.attempt_id)
+            _log.warning("{}: could not decode job label; task not adopted", task.attempt_id)
             return None
 
     def _is_adoptable(self, job: Job, task: ListedTask) -> bool:
-        """Only tasks of earlier owners are adopted, and one attempt for each task of a job."""
+        """Returns whether an earlier owner started the task and no other attempt of it is known."""
         if task.labels is None or task.labels.epoch >= self._epoch:
             return False
         if task.state not in (TaskState.RUNNING, TaskState.SUCCEEDED):
@@ -89,11 +89,11 @@
         self._executor.follow(attempt_id, job, link)
         _log.info("{}: adopted attempt {}", link.id, attempt_id)
 
-    def _hold(self, link: UpstreamLink, task: ListedTask) -> None:
+    def _hold_allocation(self, link: UpstreamLink, task: ListedTask) -> None:
         until = self._clock.boot_time() + task.lease_left
         self._scheduler.hold_unknown(link.id, task.attempt_id, task.resources, until)
 
     def _is_leftover(self, task: ListedTask) -> bool:
-        """Tells whether this owner started the task and has given it up since."""
+        """Returns whether this owner started the task and no longer tracks it."""
         labels = task.labels
         return labels is not None and labels.shard == self._shard and labels.epoch == self._epoch
--- a/hornbeamramp/shard_records.py
+++ b/hornbeamramp/shard_records.py
@@ -1,4 +1,4 @@
-"""Shard records in the store, written by compare-and-swap with a unique write id."""
+"""Shard records in the store, written by compare-and-swap and identified by a write id."""
 
 import itertools
 import uuid
@@ -19,14 +19,14 @@
     """Value of ``shards/{pool}@{dc}``.
 
     `lease`
-        Process lease that the owner's `STORE` proof rests on.
+        Process lease on which the owner's `STORE` proof is based.
     `members`
         Members whose promises the owner needs for a proof without the store. A claim needs the
-        consent of at least one of them, or evidence from the upstreams.
+        approval of at least one of them, or evidence from the upstreams.
     `released`
-        The owner has stopped for good; anyone may claim at once.
+        Whether the owner has released the shard; any member may then claim it at once.
     `write_id`
-        Unique id of this write. Its part before the slash is the writing process.
+        Unique id of this write. The part before the slash identifies the writing process.
     """
 
     epoch: Epoch
@@ -62,7 +62,7 @@
         members: frozenset[VmId],
         released: bool = False,
     ) -> ShardRecord:
-        """Returns a record of this process with a write id that no other write has."""
+        """Returns a record of this process with a new unique write id."""
         write_id = f"{self._process}/{next(self._sequence)}"
         others = sorted(members - {self._vm})
         return ShardRecord(
@@ -70,13 +70,13 @@
         )
 
     def is_own(self, record: ShardRecord) -> bool:
-        """Returns whether this process, not an earlier one of the same VM, wrote the record."""
+        """Returns whether this process wrote the record, not an earlier one of the same VM."""
         return record.write_id.startswith(self._process + "/")
 
     async def read(self, shard: ShardId) -> StoredRecord | None:
         """Returns the record, ``None`` if there is none.
 
-        Raises `StoreUnavailableError`, and `ProtocolError` if the value is unreadable.
+        Raises `StoreUnavailableError`, and `ProtocolError` if the value can't be decoded.
         """
         entry = await self._platform.get(PREFIX + shard)
         return decode(entry) if entry else None
@@ -86,7 +86,7 @@
     ) -> StoredRecord | None:
         """Replaces version ``expected``. Returns ``None`` if another write came first.
 
-        If the answer is lost, the record is read back and compared by its write id. Raises
+        If the store's reply is lost, the record is read back and compared by its write id. Raises
         `StoreUnavailableError` if the outcome stays unknown; the write may still take effect.
         """
         try:
--- a/hornbeamramp/shards.py
+++ b/hornbeamramp/shards.py
@@ -1,4 +1,4 @@
-"""The shards that this process owns, and the upstreams as witness for those it may claim."""
+"""Serves the shards that this process owns, and inspects the upstreams of shards to claim."""
 
 import asyncio
 import contextvars
@@ -42,14 +42,14 @@
 
 
 class OwnedShards:
-    """One `ShardOwner` for each shard that this process owns.
+    """Runs one `ShardOwner` for each shard that this process owns.
 
     `may_start`
-        ``may_start(shard)``: whether this process still owns the shard.
+        ``may_start(shard)``: whether a start sent now arrives while this process owns the shard.
     `tables`
-        Returns the tables in force.
+        Returns the configuration tables in force.
     `open_upstream`
-        Makes the adapter of an upstream of a pool.
+        Creates the adapter of an upstream of a pool.
     """
 
     def __init__(
@@ -73,7 +73,7 @@
         self._task_by_shard: dict[ShardId, asyncio.Task[None]] = {}
 
     async def gained(self, shard: ShardId, epoch: Epoch) -> None:
-        """Starts to serve a shard that was claimed."""
+        """Starts to serve a shard that this process has claimed."""
         pool = self._tables().pool_by_name[split_shard_id(shard)[0]]
         owner = ShardOwner(
             shard,
@@ -88,7 +88,7 @@
             DurableJobs(self._platform, self._clock, shard),
         )
         self.owner_by_shard[shard] = owner
-        # An empty context: a hand-over is traced, what the new owner does afterwards is not.
+        # An empty context keeps the new owner's work out of the trace of the hand-over.
         task = asyncio.get_running_loop().create_task(owner.run(), context=contextvars.Context())
         self._task_by_shard[shard] = task
         _log.info("{}: serving with epoch {}", shard, epoch)
@@ -104,7 +104,7 @@
             task.cancel()
 
     def tables_changed(self) -> None:
-        """Passes changed rows of pools on to the owners."""
+        """Passes changed pool rows to the shard owners."""
         pool_by_name = self._tables().pool_by_name
         for shard, owner in self.owner_by_shard.items():
             pool = pool_by_name.get(split_shard_id(shard)[0])
@@ -112,18 +112,18 @@
                 owner.update_pool(pool)
 
     async def on_store_available(self) -> None:
-        """Lets each owner write its journal back before anyone else may claim the shard."""
+        """Lets each owner restore its journal before another process may claim the shard."""
         owners = list(self.owner_by_shard.values())
         await asyncio.gather(*(owner.on_store_available() for owner in owners))
 
     def set_upstreams_leaving(self, upstream_ids: set[UpstreamId]) -> None:
-        """Gives upstreams no new work that the platform lists as leaving."""
+        """Marks upstreams as leaving in all shards, so that they receive no new work."""
         for owner in self.owner_by_shard.values():
             for upstream_id in upstream_ids:
                 owner.set_leaving(upstream_id)
 
     def beats(self) -> dict[ShardId, ShardBeat]:
-        """Returns what heartbeats tell about the shards."""
+        """Returns the heartbeat entry of each shard."""
         return {shard: owner.beat() for shard, owner in self.owner_by_shard.items()}
 
     def status(self) -> list[dict[str, Any]]:
@@ -152,14 +152,14 @@
 
 
 class UpstreamObserver:
-    """Reads upstreams' task lists to find out whether another owner still serves a shard."""
+    """Lists and fences upstreams, to find out whether another owner still serves a shard."""
 
     def __init__(self, tables: Callable[[], Tables], open_upstream: OpenUpstream) -> None:
         self._tables = tables
         self._open_upstream = open_upstream
 
     async def observe(self, shard: ShardId) -> UpstreamReport:
-        """Lists all upstreams of the shard and sums up what their labels show."""
+        """Lists the tasks of all upstreams of the shard and summarises their labels."""
         replies = await self._for_each(shard, _list_upstream)
         listed = [reply for reply in replies if reply is not None]
         renewed_by_epoch: dict[Epoch, timedelta] = {}
@@ -178,13 +178,16 @@
         )
 
     async def fence(self, shard: ShardId, epoch: Epoch) -> bool:
-        """Fences the shard's upstreams; true if every reachable one supports it and did."""
+        """Fences the shard's upstreams.
+
+        Returns true if at least one was reached and every reached one accepted the fence.
+        """
         replies = await self._for_each(shard, lambda adapter: adapter.fence(shard, epoch))
         reached = [reply for reply in replies if reply is not None]
         return bool(reached) and all(reached)
 
     async def _for_each(self, shard: ShardId, call: Callable[[UpstreamAdapter], Any]) -> list[Any]:
-        """Calls every upstream of the shard; ``None`` stands for one that did not answer."""
+        """Calls every upstream of the shard; the result is ``None`` for one that did not answer."""
         pool_name, data_centre = split_shard_id(shard)
         pool = self._tables().pool_by_name.get(pool_name)
         upstreams = [] if pool is None else pool.upstreams
--- a/tests/test_promises.py
+++ b/tests/test_promises.py
@@ -5,7 +5,7 @@
 import pytest
 
 from hornbeamramp.ids import ShardId, VmId
-from hornbeamramp.promises import PromiseBook
+from hornbeamramp.promises import PromiseTable
 
 TERM = timedelta(seconds=6)
 SECOND = timedelta(seconds=1)
@@ -15,14 +15,14 @@
 
 @pytest.fixture
 def book(clock):
-    book = PromiseBook(clock, TERM)
+    book = PromiseTable(clock, TERM)
     clock.set(TERM)
     return book
 
 
 def test_nothing_is_promised_or_denied_right_after_the_start(clock):
     """Guards against a restarted process that has forgotten its promises and barriers."""
-    book = PromiseBook(clock, TERM)
+    book = PromiseTable(clock, TERM)
     assert not book.grant(SHARD, A, 1, TERM)
     assert book.raise_barrier(SHARD, B) == (TERM, None)
 
