--- a/hornbeamramp/forwarding.py
+++ b/hornbeamramp/forwarding.py
@@ -197,7 +197,7 @@
         except UnreachableError as error:
             return await self._resolve(shard, job) if error.sent else None
         except ProtocolError as error:
-            _log.warning("{}: {}", error.peer, error.message)
+            _log.warning("malformed submit reply from {}: {}", error.peer, error.message)
             return await self._resolve(shard, job)
         if not isinstance(reply.outcome, Misdirected):
             return reply
--- a/hornbeamramp/membership.py
+++ b/hornbeamramp/membership.py
@@ -327,7 +327,7 @@
             interval = self._interval_of(member)
             if index == 0 and member.data_centre != self.data_centre:
                 # Distributes the members of a remote data centre over the rounds.
-                await self._clock.sleep(self._phase_of(member))
+                await self._clock.sleep(self._send_offset_of(member))
             index += 1
             sent_at = self._clock.boot_time()
             timeout = min(interval, self._remote_heartbeat_interval)
@@ -363,7 +363,7 @@
         rounds = math.ceil(len(self._peers_in(member.data_centre)) / REMOTE_PEERS_PER_ROUND)
         return self._remote_heartbeat_interval * max(rounds, 1)
 
-    def _phase_of(self, member: Member) -> timedelta:
+    def _send_offset_of(self, member: Member) -> timedelta:
         position = sorted(self._peers_in(member.data_centre)).index(member.vm)
         return self._remote_heartbeat_interval * (position // REMOTE_PEERS_PER_ROUND)
 
--- a/hornbeamramp/promises.py
+++ b/hornbeamramp/promises.py
@@ -28,7 +28,7 @@
     promises nor reports that none is outstanding.
 
     `clock`
-        Clock whose boot time promises and barriers expire by.
+        Clock by whose boot time promises and barriers expire.
     `max_duration`
         Maximum duration of a promise, and duration of a barrier.
     """
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -1,4 +1,4 @@
-"""Tests of claims that rest on the upstreams: a single entry VM and its replacement."""
+"""Tests of claims based on the upstreams: a single entry VM and its replacement."""
 
 from tests.cell import SECOND, SHARD, calm
 
@@ -24,7 +24,7 @@
 
 
 def test_single_vm_without_store_yields_to_the_fence_of_its_replacement(in_cell):
-    """Guards against two owners when the old one is idle, so that no renewal shows it."""
+    """Guards against two owners if the old one is idle, so that no task renewal reveals it."""
 
     async def scenario(cell):
         await calm(cell, "a")
@@ -38,7 +38,7 @@
 
 
 def test_replacement_waits_a_minute_without_labels(in_cell):
-    """Guards against an early claim where upstreams can't show the old owner's renewals."""
+    """Guards against an early claim if upstreams have no labels that show renewals."""
 
     async def scenario(cell):
         cell.upstreams.labelled = cell.upstreams.fences = False
@@ -54,7 +54,7 @@
 
 
 def test_unreachable_upstream_does_not_hide_renewals_at_the_others(in_cell):
-    """Guards against a claim after the wait although the old owner renews its tasks."""
+    """Guards against a claim after the wait while the old owner still renews its tasks."""
 
     async def scenario(cell):
         cell.upstreams.all_answered = False
--- a/tests/test_lease.py
+++ b/tests/test_lease.py
@@ -15,8 +15,8 @@
 MARGIN = timedelta(milliseconds=300)
 
 
-class Registrations:
-    """Stands for the member record: notes each lease, refuses as often as told."""
+class FakeRegistration:
+    """Fake registration: stores each lease; the next ``refusals`` calls fail with a conflict."""
 
     def __init__(self) -> None:
         self.leases = []
@@ -30,17 +30,17 @@
 
 
 @pytest.fixture
-def registrations():
-    return Registrations()
+def registration():
+    return FakeRegistration()
 
 
 @pytest.fixture
-def lease(store, clock, registrations):
-    return ProcessLease(store, clock, TimingSettings(), registrations.register)
+def lease(store, clock, registration):
+    return ProcessLease(store, clock, TimingSettings(), registration.register)
 
 
 def test_renewal_counts_from_sending(lease, store, clock, run):
-    """Guards against a slow answer that makes the lease look longer than the store keeps it."""
+    """Guards against a slow answer after which the lease is considered valid for too long."""
 
     async def scenario():
         await lease.renew()
@@ -68,7 +68,7 @@
     run(scenario())
 
 
-def test_ended_lease_is_replaced_and_registered_again(lease, registrations, clock, run):
+def test_ended_lease_is_replaced_and_registered_again(lease, registration, clock, run):
     """Guards against a process that stays without a member record after a long pause."""
 
     async def scenario():
@@ -78,16 +78,16 @@
         assert not lease.is_valid()
         assert await lease.renew()
         assert lease.id != first and lease.is_valid()
-        assert registrations.leases == [first, lease.id]
+        assert registration.leases == [first, lease.id]
 
     run(scenario())
 
 
-def test_lease_does_not_count_before_its_record_is_written(lease, registrations, run):
-    """Guards against a claim under a lease that others take for ended."""
+def test_lease_does_not_count_before_its_record_is_written(lease, registration, run):
+    """Guards against a claim under a lease that other members consider ended."""
 
     async def scenario():
-        registrations.refusals = 1
+        registration.refusals = 1
         assert not await lease.renew()
         assert lease.id is None and not lease.is_valid()
         assert await lease.renew()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -1,4 +1,4 @@
-"""Tests of membership: records, heartbeats, states."""
+"""Tests of membership: member records, heartbeats, member states."""
 
 from hornbeamramp.ids import DataCentreId, ShardId
 from hornbeamramp.platforms.base import ListedVm
@@ -15,7 +15,7 @@
 
 
 def test_members_find_each_other(in_cell):
-    """Guards against members that know the store's records but not each other's state."""
+    """Guards against members that read the member records but don't learn each other's state."""
 
     async def scenario(cell):
         processes = [cell.start(name) for name in "abc"]
@@ -29,7 +29,7 @@
 
 
 def test_silent_member_becomes_suspect_then_dead(in_cell):
-    """Guards against work that is sent to a member that has crashed."""
+    """Guards against sending work to a member that has crashed."""
 
     async def scenario(cell):
         first = cell.start("a")
@@ -48,7 +48,7 @@
 
 
 def test_members_stay_known_without_the_store(in_cell):
-    """Guards against a store outage that makes members forget or fail each other."""
+    """Guards against a store outage after which members remove each other or count as dead."""
 
     async def scenario(cell):
         first, second = cell.start("a"), cell.start("b")
@@ -78,7 +78,7 @@
 
 
 def test_listed_leaving_is_only_a_hint(in_cell):
-    """Guards against a lagging VM list that declares a member dead or alive."""
+    """Guards against an outdated VM list that decides whether a member is dead or alive."""
 
     async def scenario(cell):
         first = cell.start("a")
@@ -114,34 +114,34 @@
     """Guards against heartbeats between data centres that grow with the square of the members."""
 
     async def scenario(cell):
-        far = ShardId(f"weigh@{TUZLA}")
-        cell.shards = [SHARD, far]
-        near = [cell.start(name) for name in "abcd"]
-        remote = [cell.start(name, TUZLA) for name in "wxyz"]
+        remote_shard = ShardId(f"weigh@{TUZLA}")
+        cell.shards = [SHARD, remote_shard]
+        local_processes = [cell.start(name) for name in "abcd"]
+        remote_processes = [cell.start(name, TUZLA) for name in "wxyz"]
         await cell.advance(30 * SECOND)
-        for process in near:
+        for process in local_processes:
             assert alive(process, TUZLA) == ["w", "x", "y", "z"]
-            beat, owner = process.membership.beat_of(far)
-            assert beat.epoch == 1 and cell.serving(far) == [owner]
-            assert process.ownership.owner_of(far) == owner
-        sent = []
+            beat, owner = process.membership.beat_of(remote_shard)
+            assert beat.epoch == 1 and cell.serving(remote_shard) == [owner]
+            assert process.ownership.owner_of(remote_shard) == owner
+        sent_addresses = []
         original = cell.network.call
 
         async def call(sender, address, request, timeout, step):
-            if sender is near[0] and address[0] in "wxyz":
-                sent.append(address)
+            if sender is local_processes[0] and address[0] in "wxyz":
+                sent_addresses.append(address)
             return await original(sender, address, request, timeout, step)
 
         cell.network.call = call
         await cell.advance(60 * SECOND)
-        assert len(remote) == len(set(sent))
-        assert 20 <= len(sent) <= 26
+        assert len(remote_processes) == len(set(sent_addresses))
+        assert 20 <= len(sent_addresses) <= 26
 
     in_cell(scenario)
 
 
 def test_restarted_vm_registers_after_the_record_of_its_predecessor_ends(in_cell):
-    """Guards against hiding a lease under which a paused predecessor still owns shards."""
+    """Guards against replacing a record under whose lease a paused process still owns shards."""
 
     async def scenario(cell):
         cell.start("a")
@@ -157,7 +157,7 @@
 
 
 def test_lost_answer_of_the_member_record_is_resolved(in_cell):
-    """Guards against a process that waits for the end of its own record."""
+    """Guards against a process that waits until its own record ends after a lost answer."""
 
     async def scenario(cell):
         process = cell.start("a")
--- a/tests/test_owner.py
+++ b/tests/test_owner.py
@@ -1,4 +1,4 @@
-"""Tests of a shard's owner around its recovery."""
+"""Tests of `ShardOwner` during recovery."""
 
 import asyncio
 from datetime import timedelta
@@ -20,7 +20,7 @@
 POOL = Pool("tickets", [PoolUpstream("w-1", "gebze", "10.0.0.1:80")])
 
 
-class SilentUpstream:
+class UnresponsiveUpstream:
     """Adapter of an upstream that never answers."""
 
     async def shape(self):
@@ -42,7 +42,7 @@
             TimingSettings(),
             Metrics(),
             lambda: True,
-            lambda upstream: SilentUpstream(),
+            lambda upstream: UnresponsiveUpstream(),
             DurableJobs(store, clock, SHARD),
         )
 
@@ -50,7 +50,7 @@
 
 
 def test_a_job_is_not_refused_before_any_upstream_is_listed(clock, run, make_owner):
-    """Guards against refusals for lack of upstreams right after a claim."""
+    """Guards against refusing jobs for lack of upstreams right after a claim."""
 
     async def scenario():
         owner = make_owner()
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -1,4 +1,4 @@
-"""Tests of ownership: claim, kill, hand-over, outages and partitions, by a manual clock."""
+"""Tests of shard ownership with a manual clock: claims, crashes, hand-over, outages, partitions."""
 
 import asyncio
 
@@ -38,7 +38,7 @@
 
 
 def test_hand_over_takes_less_than_a_second(in_cell):
-    """Guards against a graceful shutdown that makes callers wait for the lease."""
+    """Guards against a graceful shutdown that makes callers wait until the lease expires."""
 
     async def scenario(cell):
         await calm(cell, "a", "b", "c")
@@ -61,7 +61,7 @@
 
 
 def test_store_outage_with_peers_keeps_the_owner(in_cell):
-    """Guards against a shard that stops, or changes its epoch, in a long store outage."""
+    """Guards against a shard that loses its owner or changes its epoch in a long store outage."""
 
     async def scenario(cell):
         await calm(cell, "a", "b", "c")
@@ -82,7 +82,7 @@
 
 
 def test_store_outage_keeps_a_single_owner(in_cell):
-    """Guards against a partitioned data centre with one entry VM that stops to serve."""
+    """Guards against a partitioned data centre with one entry VM that stops serving."""
 
     async def scenario(cell):
         await calm(cell, "a")
@@ -97,7 +97,7 @@
 
 
 def test_owner_cut_from_the_store_keeps_its_shard_by_promises(in_cell):
-    """Guards against a needless move while the owner answers its peers."""
+    """Guards against an unnecessary move of a shard while its owner answers its peers."""
 
     async def scenario(cell):
         await calm(cell, "a", "b", "c")
@@ -110,7 +110,7 @@
 
 
 def test_owner_cut_from_store_and_peers_is_replaced(in_cell):
-    """Guards against a second owner while the first still has a proof, and against none."""
+    """Guards against two owners while the first has a proof, and against no owner afterwards."""
 
     async def scenario(cell):
         await calm(cell, "a", "b", "c")
@@ -146,19 +146,19 @@
 
 
 def test_owner_paused_past_its_lease_may_not_start(in_cell):
-    """Guards against a late start by an owner that slept through its replacement."""
+    """Guards against a start by an owner that was replaced while its process was paused."""
 
     async def scenario(cell):
         await calm(cell, "a", "b")
         owner, _ = owner_and_others(cell)
         owner.pause.pause()
         await cell.advance(TTL + 2 * SECOND)
-        heir = cell.serving()
-        assert heir and heir != [owner.vm]
+        successor = cell.serving()
+        assert successor and successor != [owner.vm]
         owner.pause.resume()
         assert not owner.may_start()
         await cell.advance(20 * SECOND)
-        assert cell.serving() == heir
+        assert cell.serving() == successor
         assert owner.events[-1] == ("lost", SHARD)
 
     in_cell(scenario)
@@ -166,7 +166,7 @@
 
 @pytest.mark.parametrize("lost", [1, 2, 3, 4])
 def test_lost_answers_at_start_lead_to_one_owner(in_cell, lost):
-    """Guards against a claim that took effect, whose answer was lost, and that nobody uses."""
+    """Guards against a claim that took effect but is not used because the answer was lost."""
 
     async def scenario(cell):
         cell.start("a").store.lose_answers = lost
@@ -177,11 +177,11 @@
 
 
 def test_lost_answer_of_a_takeover_is_resolved(in_cell):
-    """Guards against a takeover that waits for its own lease to end."""
+    """Guards against a takeover that waits for its own lease to end after a lost answer."""
 
     async def scenario(cell):
         await calm(cell, "a", "b")
-        owner, (heir,) = owner_and_others(cell)
+        owner, (successor,) = owner_and_others(cell)
         cell.kill(owner.vm)
         while not any(e.key == f"members/gebze/{owner.vm}" for e in cell.store.entries()):
             await cell.advance(SECOND / 10)
@@ -194,7 +194,7 @@
 
         cell.store.put = put_and_lose
         await cell.wait_until_served(TTL + 3 * SECOND)
-        assert heir.ownership.owned == {SHARD: 2}
+        assert successor.ownership.owned == {SHARD: 2}
 
     in_cell(scenario)
 
@@ -218,7 +218,7 @@
 
 
 def test_crash_of_a_member_in_an_outage_stops_the_shard_until_the_store_returns(in_cell):
-    """Guards against a proof that lacks the promise of a member that may only be cut off."""
+    """Guards against a proof without the promise of a member that may be alive but cut off."""
 
     async def scenario(cell):
         await calm(cell, "a", "b", "c")
@@ -244,19 +244,19 @@
         cell.network.duplicate = True
         asyncio.ensure_future(owner.ownership.hand_over_all())
         await cell.advance(2 * SECOND)
-        heir = cell.process_by_vm[cell.serving()[0]]
-        assert heir.ownership.owned == {SHARD: 2}
-        third = next(p for p in others if p is not heir)
+        successor = cell.process_by_vm[cell.serving()[0]]
+        assert successor.ownership.owned == {SHARD: 2}
+        third = next(p for p in others if p is not successor)
         reply = await third.ownership.on_hand_over(HandOverRequest(SHARD, 1, owner.vm))
         assert not reply.accepted
         await cell.advance(2 * SECOND)
-        assert cell.serving() == [heir.vm]
+        assert cell.serving() == [successor.vm]
 
     in_cell(scenario)
 
 
 def test_leaving_owner_admits_it_only_after_the_send_bound(in_cell):
-    """Guards against a successor that starts while the last start is still on its way."""
+    """Guards against a successor that starts work while the last start is still in transit."""
 
     async def scenario(cell):
         await calm(cell, "a", "b")
@@ -275,7 +275,7 @@
 
 
 def test_released_shard_goes_to_another_member(in_cell):
-    """Guards against a release that its own process undoes."""
+    """Guards against a process that claims a shard again right after it has released it."""
 
     async def scenario(cell):
         await calm(cell, "a", "b")
@@ -290,7 +290,7 @@
 
 
 def test_better_candidate_does_not_move_a_shard(in_cell):
-    """Guards against moves that nothing but a new member causes."""
+    """Guards against moving a shard only because a new member ranks higher."""
 
     async def scenario(cell):
         await calm(cell, "a")
@@ -315,7 +315,7 @@
 
 
 def test_idle_process_makes_fewer_than_one_and_a_half_store_calls_per_second(in_cell):
-    """Guards against store traffic that grows beyond the budget of the fleet."""
+    """Guards against idle processes that exceed the fleet's budget of store calls."""
 
     async def scenario(cell):
         cell.shards = [ShardId(f"pool{i}@gebze") for i in range(5)]
--- a/tests/test_ownership_safety.py
+++ b/tests/test_ownership_safety.py
@@ -17,33 +17,34 @@
 
 EXAMPLES = os.environ.get("HORNBEAMRAMP_EXAMPLES")
 NAMES = ["a", "b", "c", "d"]
-# Longest way to an owner: an old lease ends, no member on record answers for two TTLs, then the
-# fence and one more TTL; a process that has released the shard claims again after three.
-RECOVERY = 40 * SECOND
-
-# Processes are named by their place at the time of the action: 0 is the owner, the others follow
-# in order of preference. Most failures that matter concern the owner and its heir.
-places = st.sampled_from([0, 0, 0, 1, 1, 2, 3])
+# Longest time until a shard has an owner again: an old lease ends, no recorded member answers for
+# two TTLs, then the fence and one more TTL. A process that has released the shard claims it again
+# only after three TTLs.
+RECOVERY_LIMIT = 40 * SECOND
+
+# Processes are identified by their position at the time of the failure: 0 is the owner, the others
+# follow in order of rank. Most failures that matter affect the owner and its successor.
+positions = st.sampled_from([0, 0, 0, 1, 1, 2, 3])
 pairs = st.sampled_from([(0, 1), (0, 1), (0, 2), (1, 2), (0, 3), (1, 3), (2, 3)])
 failures = st.one_of(
     st.tuples(st.sampled_from(["cut", "cut", "heal"]), pairs),
-    st.tuples(st.sampled_from(["cut_store", "cut_store", "heal_store"]), places),
-    st.tuples(st.sampled_from(["isolate", "rejoin", "only_it_has_the_store"]), places),
-    st.tuples(st.sampled_from(["pause", "resume", "pause", "resume"]), places),
-    st.tuples(st.sampled_from(["restart", "kill", "hand_over"]), places),
+    st.tuples(st.sampled_from(["cut_store", "cut_store", "heal_store"]), positions),
+    st.tuples(st.sampled_from(["isolate", "rejoin", "only_it_has_the_store"]), positions),
+    st.tuples(st.sampled_from(["pause", "resume", "pause", "resume"]), positions),
+    st.tuples(st.sampled_from(["restart", "kill", "hand_over"]), positions),
     st.tuples(st.sampled_from(["start", "resume_all", "heal_all"]), st.just(0)),
-    st.tuples(st.just("lose_answers"), places, st.integers(1, 3)),
-    st.tuples(st.just("delay_store"), places, st.sampled_from([0.0, 0.3, 1.2, 4.0])),
+    st.tuples(st.just("lose_answers"), positions, st.integers(1, 3)),
+    st.tuples(st.just("delay_store"), positions, st.sampled_from([0.0, 0.3, 1.2, 4.0])),
     st.tuples(st.just("delay"), pairs, st.sampled_from([0.0, 0.2, 0.9, 6.0])),
     st.tuples(st.sampled_from(["store_down", "store_up", "duplicate"]), st.just(0)),
 )
 advances = st.sampled_from([0.3, 1.0, 2.5, 4.0, 6.5, 8.0, 14.0])
-# Several failures at once, then time for their effects to show.
+# Several failures at once, then time for them to take effect.
 sequences = st.lists(
     st.tuples(st.lists(failures, min_size=1, max_size=3), advances), min_size=1, max_size=7
 )
-# Many examples begin with an owner that depends on promises or the upstreams.
-beginnings = st.sampled_from(
+# Many examples begin with an owner whose proof depends on promises or the upstreams.
+initial_failures = st.sampled_from(
     [
         [],
         [([("cut_store", 0)], 8.0)],
@@ -56,8 +57,8 @@
 rates = st.lists(st.sampled_from([0.985, 1.0, 1.015]), min_size=4, max_size=4)
 
 
-class Player:
-    """Plays a sequence of failures on a cell."""
+class FailureInjector:
+    """Applies failures to a cell."""
 
     def __init__(self, cell: Cell, clock_rates: list[float]) -> None:
         self.cell = cell
@@ -68,8 +69,8 @@
         self.leaving.discard(VmId(name))
         self.cell.start(name, rate=self.rate_by_name[name])
 
-    def end_failures(self) -> None:
-        """Ends all failures; processes that have been shut down are started anew."""
+    def clear_failures(self) -> None:
+        """Ends all failures and restarts processes that have been shut down."""
         self.cell.heal()
         self.cell.store.mode = StoreMode.UP
         self.cell.network.delay_by_pair.clear()
@@ -83,7 +84,7 @@
         if not self.cell.process_by_vm:
             self.start(NAMES[0])
 
-    def place(self, index: int) -> Process | None:
+    def process_at(self, index: int) -> Process | None:
         ranked = rank(SHARD, dict.fromkeys(map(VmId, NAMES), 1.0))
         owners = self.cell.serving() or self.cell.owners()
         order = owners + [vm for vm in ranked if vm not in owners]
@@ -94,7 +95,7 @@
         kind, argument, *rest = failure
         cell, network = self.cell, self.cell.network
         if isinstance(argument, tuple):
-            pair = [self.place(index) for index in argument]
+            pair = [self.process_at(index) for index in argument]
             if None in pair:
                 return
             names = frozenset(process.vm for process in pair)
@@ -105,7 +106,7 @@
             else:
                 network.delay_by_pair[names] = rest[0] * SECOND
             return
-        process = self.place(argument)
+        process = self.process_at(argument)
         others = [p for p in cell.process_by_vm.values() if p is not process]
         match kind:
             case "store_down" | "store_up":
@@ -154,21 +155,21 @@
 async def play(
     count: int, clock_rates: list[float], sequence: list[tuple], recover: bool = False
 ) -> None:
-    """Plays a sequence. With ``recover``, then ends all failures and waits for an owner."""
+    """Applies a sequence of failures; ``recover`` then ends them and waits for an owner."""
     clock = ManualClock()
     cell = Cell(clock, MemoryPlatform(clock))
-    player = Player(cell, clock_rates)
+    injector = FailureInjector(cell, clock_rates)
     try:
         for name in NAMES[:count]:
-            player.start(name)
+            injector.start(name)
         await cell.advance(9 * SECOND)
         for failures_at_once, seconds in sequence:
             for failure in failures_at_once:
-                player.apply(failure)
+                injector.apply(failure)
             await cell.advance(seconds * SECOND)
         if recover:
-            player.end_failures()
-            await cell.wait_until_served(RECOVERY)
+            injector.clear_failures()
+            await cell.wait_until_served(RECOVERY_LIMIT)
     finally:
         await cell.stop()
 
@@ -178,13 +179,13 @@
     derandomize=EXAMPLES is None,
     deadline=None,
     database=None,
-    # Shrinking replays half a second of work thousands of times.
+    # Shrinking would repeat examples of half a second thousands of times.
     phases=[Phase.explicit, Phase.generate],
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large],
 )
-@given(st.sampled_from([2, 3, 2, 3, 1, 4]), rates, beginnings, sequences)
+@given(st.sampled_from([2, 3, 2, 3, 1, 4]), rates, initial_failures, sequences)
 @example(
-    # The heir asked a leaving owner whose last start was still on its way.
+    # The successor asked a leaving owner whose last start was still in transit.
     2,
     [1.0, 1.015, 1.015, 1.0],
     [([("delay_store", 0, 4.0), ("lose_answers", 1, 2), ("cut_store", 0)], 14.0)],
@@ -203,7 +204,7 @@
     phases=[Phase.explicit, Phase.generate],
     suppress_health_check=[HealthCheck.too_slow, HealthCheck.data_too_large],
 )
-@given(st.sampled_from([2, 3, 1]), rates, beginnings, sequences)
+@given(st.sampled_from([2, 3, 1]), rates, initial_failures, sequences)
 def test_shard_is_served_again_when_failures_end(count, clock_rates, beginning, sequence):
     """Guards against a state in which every process waits for another one for good."""
     asyncio.run(play(count, clock_rates, beginning + sequence, recover=True))
--- a/tests/test_shard_records.py
+++ b/tests/test_shard_records.py
@@ -1,4 +1,4 @@
-"""Tests of shard records: compare-and-swap with a write id."""
+"""Tests of shard records: compare-and-swap writes and write ids."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def test_other_writer_wins_over_a_lost_answer(store, run):
-    """Guards against taking another process's record for the own one."""
+    """Guards against mistaking another process's record for one's own."""
 
     async def scenario():
         first = ShardRecords(store, VmId("a"), "a:90")
@@ -38,7 +38,7 @@
 
 
 def test_unknown_outcome_is_reported(store, run):
-    """Guards against taking a write for failed that may still take effect."""
+    """Guards against reporting a write as failed that may still take effect."""
 
     async def scenario():
         records = ShardRecords(store, VmId("a"), "a:90")
@@ -50,7 +50,7 @@
 
 
 def test_only_the_owner_of_the_epoch_releases(store, run):
-    """Guards against a late release that frees the shard of the next owner."""
+    """Guards against a late release that releases the shard of the next owner."""
 
     async def scenario():
         old = ShardRecords(store, VmId("a"), "a:90")
