--- a/hornbeamramp/lease.py
+++ b/hornbeamramp/lease.py
@@ -69,7 +69,7 @@
         return self.id is not None and self._clock.boot_time() < self._valid_until
 
     def store_available_for(self) -> timedelta | None:
-        """Returns for how long no renewal has failed, ``None`` if the last one failed."""
+        """Returns how long renewals have succeeded without a failure, ``None`` after a failure."""
         if self._store_available_since is None:
             return None
         return self._clock.boot_time() - self._store_available_since
--- a/hornbeamramp/membership.py
+++ b/hornbeamramp/membership.py
@@ -146,7 +146,7 @@
         self._heartbeat_listeners.append(listener)
 
     def alive_in(self, data_centre: DataCentreId) -> list[Member]:
-        """Returns the alive members of a data centre, this process included."""
+        """Returns the members of a data centre that can take work, this process included."""
         self._refresh_states()
         return [
             member
@@ -193,7 +193,7 @@
         return revisions
 
     def set_leaving(self) -> None:
-        """Marks this process as leaving; the next heartbeats tell the others."""
+        """Marks this process as leaving in its next heartbeats, so that it gets no new work."""
         self.leaving = True
         self._refresh_states()
 
