--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -21,7 +21,7 @@
 from hornbeamramp.peers import PeerCaller
 from hornbeamramp.platforms import Platform
 from hornbeamramp.settings import Settings
-from hornbeamramp.shards import OpenUpstream, OwnedShards, UpstreamWitness
+from hornbeamramp.shards import OpenUpstream, OwnedShards, UpstreamObserver
 from hornbeamramp.states import Step
 from hornbeamramp.store_budget import BudgetedPlatform
 from hornbeamramp.tables import Tables
@@ -96,7 +96,7 @@
             self._own_shards,
             self.shards.gained,
             self.shards.lost,
-            UpstreamWitness(lambda: self.configuration.tables, open_upstream),
+            UpstreamObserver(lambda: self.configuration.tables, open_upstream),
         )
         self.forwarder = Forwarder(settings, clock, self, peers.call, self.handle)
         self.cluster_status = ClusterStatus(
@@ -112,7 +112,7 @@
         )
         self.cluster_status.observe(self.metrics)
         self.configuration.subscribe(self._on_tables)
-        self.membership.listen(self._on_heartbeat)
+        self.membership.add_heartbeat_listener(self._on_heartbeat)
         self._peers = peers
         self._pulling = False
         self._handler_by_type = self._handlers()
@@ -218,7 +218,7 @@
         while self.membership.lease.id is None and self.settings.seed_peers:
             for address in self.settings.seed_peers:
                 try:
-                    await self.membership.introduce(address, PULL_TIMEOUT)
+                    await self.membership.send_heartbeat(address, PULL_TIMEOUT)
                 except (UnreachableError, ProtocolError) as error:
                     _log.debug("seed peer {}: {}", address, error.message)
                 else:
@@ -238,12 +238,14 @@
             before, available = available, self.membership.lease.store_available_for() is not None
             if available and not before:
                 _log.info("the store is available again")
-                await self.shards.store_returned()
+                await self.shards.on_store_available()
 
     async def _follow_vm_list(self) -> None:
         """Gives upstreams that the platform lists as leaving no new work."""
         while True:
             with contextlib.suppress(StoreUnavailableError):
                 listed = await self.platform.list_vms()
-                self.shards.vms_leaving({UpstreamId(vm.vm_id) for vm in listed if vm.leaving})
+                self.shards.set_upstreams_leaving(
+                    {UpstreamId(vm.vm_id) for vm in listed if vm.leaving}
+                )
             await self.clock.sleep(VM_LIST_INTERVAL)
