--- a/hornbeamramp/platform/callers.py
+++ b/hornbeamramp/platform/callers.py
@@ -14,7 +14,7 @@
 from hornbeamramp.platform.decoding import decode_job
 from hornbeamramp.telemetry import prometheus_text
 from hornbeamramp.vm import CallerService, Cancelled, Node, UnavailableError
-from hornbeamramp.workload import Target
+from hornbeamramp.workload import RouteMatch
 
 __all__ = ["CallerServer"]
 
@@ -109,9 +109,9 @@
             return _json(404, {"error": "no such queue"})
         patience = _patience(request)
         try:
-            if request.method == "GET" and not target.rest:
+            if request.method == "GET" and not target.path_suffix:
                 return _json(200, {"pending": await self._service.pending(target.queue, patience)})
-            if not JOB_ID.fullmatch(target.rest):
+            if not JOB_ID.fullmatch(target.path_suffix):
                 return _json(404, {"error": "the job id must be 16 hexadecimal digits"})
             return await self._answer_job(request, target, patience)
         except UnavailableError as error:
@@ -121,9 +121,9 @@
             return _unavailable(str(error), timedelta(seconds=1))
 
     async def _answer_job(
-        self, request: web.BaseRequest, target: Target, patience: timedelta
+        self, request: web.BaseRequest, target: RouteMatch, patience: timedelta
     ) -> web.StreamResponse:
-        job_id = JobId(target.rest)
+        job_id = JobId(target.path_suffix)
         if request.method == "POST":
             return await self._submit(request, target, job_id, patience)
         if request.method == "GET":
@@ -137,7 +137,7 @@
         return _json(405, {"error": f"method {request.method} is not known"})
 
     async def _submit(
-        self, request: web.BaseRequest, target: Target, job_id: JobId, patience: timedelta
+        self, request: web.BaseRequest, target: RouteMatch, job_id: JobId, patience: timedelta
     ) -> web.StreamResponse:
         job = decode_job(await request.read())
         if isinstance(job, Err):
--- a/hornbeamramp/platform/decoding.py
+++ b/hornbeamramp/platform/decoding.py
@@ -10,7 +10,7 @@
 from hornbeamramp.resources import Resources
 from hornbeamramp.statestore import Item
 from hornbeamramp.workload import (
-    AdviceTerms,
+    AdviceTiming,
     ClusterConfig,
     JobSpec,
     Pool,
@@ -175,7 +175,7 @@
         advice=(
             None
             if terms is None
-            else AdviceTerms(
+            else AdviceTiming(
                 _milliseconds(terms.decide_ms),
                 _milliseconds(terms.each_ms),
                 _milliseconds(terms.valid_ms),
--- a/hornbeamramp/poolowner/advice.py
+++ b/hornbeamramp/poolowner/advice.py
@@ -7,7 +7,7 @@
 import msgspec
 
 from hornbeamramp.ids import UpstreamId
-from hornbeamramp.workload import AdviceTerms, StepKey
+from hornbeamramp.workload import AdviceTiming, StepKey
 
 __all__ = [
     "START_MARGIN",
@@ -50,7 +50,7 @@
         self,
         step: StepKey,
         workers: list[UpstreamId],
-        terms: AdviceTerms,
+        timing: AdviceTiming,
         priority: int,
         deferral: timedelta,
     ) -> Advice:
--- a/hornbeamramp/poolowner/outlook.py
+++ b/hornbeamramp/poolowner/outlook.py
@@ -14,9 +14,9 @@
 
 from hornbeamramp.durations import to_ms
 from hornbeamramp.statestore import JobRecord
-from hornbeamramp.workload import AdviceTerms, JobSpec, Queue, StepSpec
+from hornbeamramp.workload import AdviceTiming, JobSpec, Queue, StepSpec
 
-__all__ = ["Chain", "Outlook", "Prospect", "prospect", "return_after"]
+__all__ = ["Chain", "Outlook", "Prospect", "prospect", "retry_delay"]
 
 # Beyond this many times the time in which a job counts as in time, its answer is worth nothing to
 # its caller (the users' rule on what a job earns).
@@ -77,7 +77,7 @@
         return cls(tuple(left))
 
 
-def return_after(queue: Queue, spec: JobSpec) -> timedelta:
+def retry_delay(queue: Queue, spec: JobSpec) -> timedelta:
     """Returns when a caller should return who was refused for want of the store."""
     if any(step.long_running for step in spec.steps):
         return SHORTEST_RETURN
@@ -93,7 +93,7 @@
     since_ms: float,
     now_ms: float,
     correction: float,
-    terms: AdviceTerms | None,
+    timing: AdviceTiming | None,
 ) -> Prospect:
     """Returns what a step's job can still reach if the step begins now.
 
@@ -105,8 +105,8 @@
     if record.spec.steps[step].long_running:
         return Prospect(Outlook.IN_TIME, since_ms)
     advice_ms = 0.0
-    if terms is not None:
-        advice_ms = to_ms(terms.base + WORKERS_ASKED * terms.per_worker)
+    if timing is not None:
+        advice_ms = to_ms(timing.base + WORKERS_ASKED * timing.per_worker)
 
     def duration_ms(way: Way) -> float:
         return way.work_ms * correction + way.steps * advice_ms
--- a/hornbeamramp/poolowner/owner.py
+++ b/hornbeamramp/poolowner/owner.py
@@ -33,7 +33,7 @@
 from hornbeamramp.poolowner.journal import Journal
 from hornbeamramp.poolowner.launch import Launcher
 from hornbeamramp.poolowner.lifecycle import JobLifecycle
-from hornbeamramp.poolowner.outlook import return_after
+from hornbeamramp.poolowner.outlook import retry_delay
 from hornbeamramp.poolowner.placer import Placer
 from hornbeamramp.poolowner.recovery import ghost_listing, read_jobs
 from hornbeamramp.statestore import (
@@ -195,7 +195,7 @@
         self.is_lost.set()
         await self._background.cancel()
 
-    def lose(self, why: str) -> None:
+    def mark_lost(self, why: str) -> None:
         """Notes that another process may own the pool."""
         if not self.is_lost.is_set():
             _log.warning("{}: the claim with token {} is lost: {}", self.pool, self.token, why)
@@ -206,7 +206,7 @@
         try:
             await self._journal.run()
         except ClaimLostError as error:
-            self.lose(str(error))
+            self.mark_lost(str(error))
 
     # SessionOwner
 
@@ -236,7 +236,7 @@
         self._wake.set()
 
     def on_fenced(self, session: WorkerSession) -> None:
-        self.lose(f"worker {session.worker} has seen a higher token")
+        self.mark_lost(f"worker {session.worker} has seen a higher token")
 
     async def recorded(self) -> None:
         try:
@@ -258,7 +258,7 @@
         is_out = failing is not None and self._clock.boot_time() - failing > STORE_PATIENCE
         # An earlier call's record may still be written, so a refusal would not be certain.
         if is_out and not self._journal.is_inserting(job_id):
-            return Refusal("the store does not answer", return_after(queue, spec))
+            return Refusal("the store does not answer", retry_delay(queue, spec))
         record = JobRecord(
             job_id=job_id,
             queue=queue.name,
--- a/hornbeamramp/poolowner/placer.py
+++ b/hornbeamramp/poolowner/placer.py
@@ -128,7 +128,7 @@
             since_ms=max(job.record.accepted_ms, job.record.spec.due_ms(step.key.occurrence)),
             now_ms=self._owner.now_ms(),
             correction=self.speeds.correction(step),
-            terms=None if queue is None else queue.advice,
+            timing=None if queue is None else queue.advice,
         )
 
     def _place(self, step: StepRun, workers: _Workers, is_next: bool) -> None:
--- a/hornbeamramp/vm/advice_queue.py
+++ b/hornbeamramp/vm/advice_queue.py
@@ -17,7 +17,7 @@
 from hornbeamramp.states import Step
 from hornbeamramp.vm.adapter import AdviceClient
 from hornbeamramp.vm.messages import AdviseReply, AdviseRequest
-from hornbeamramp.workload import AdviceTerms, StepKey
+from hornbeamramp.workload import AdviceTiming, StepKey
 
 __all__ = ["AdviceQueue", "SpreadAdvice"]
 
@@ -119,11 +119,11 @@
         self,
         step: StepKey,
         workers: list[UpstreamId],
-        terms: AdviceTerms,
+        timing: AdviceTiming,
         priority: int,
         deferral: timedelta,
     ) -> Advice:
-        cost = terms.base + len(workers) * terms.per_worker
+        cost = timing.base + len(workers) * timing.per_worker
         vm = await self._take_vm(cost > COSTLY_CALL, priority * AGE_PER_PRIORITY + deferral)
         try:
             if vm == self._own_vm:
--- a/hornbeamramp/vm/caller_service.py
+++ b/hornbeamramp/vm/caller_service.py
@@ -12,7 +12,7 @@
 from hornbeamramp.durations import to_ms
 from hornbeamramp.errors import SchedulerError, StoreUnavailableError, UnreachableError
 from hornbeamramp.ids import JobId, PoolName
-from hornbeamramp.poolowner import PoolOwner, return_after
+from hornbeamramp.poolowner import PoolOwner, retry_delay
 from hornbeamramp.rpc import PeerServer
 from hornbeamramp.states import Step
 from hornbeamramp.statestore import ClaimLostError, decode_progress, job_key, progress_key
@@ -99,7 +99,7 @@
         if self._node.isolation.is_isolated:
             return Submitted("this VM is cut off from the others", ISOLATED_RETRY_AFTER)
         if self._is_store_out():
-            return Submitted("the store can't be reached", return_after(queue, spec))
+            return Submitted("the store can't be reached", retry_delay(queue, spec))
         if self._node.config is None:
             return Submitted("there is no configuration yet", CONFIG_RETRY_AFTER)
         version = self._node.config.version
--- a/hornbeamramp/vm/node.py
+++ b/hornbeamramp/vm/node.py
@@ -230,7 +230,7 @@
             if owner_key(pool) in changed:
                 record = self.owner_record(pool)
                 if owner.is_ready and (record is None or record.boot != self.identity.boot):
-                    owner.lose(f"the store names {record} as the owner")
+                    owner.mark_lost(f"the store names {record} as the owner")
         self._notify_cell()
 
     def _notify_cell(self) -> None:
@@ -239,7 +239,7 @@
 
     def _on_new_lease(self, lease: int) -> None:
         for owner in self.owner_by_pool.values():
-            owner.lose("the VM's lease was replaced")
+            owner.mark_lost("the VM's lease was replaced")
         self._notify_cell()
 
     # Claims
--- a/hornbeamramp/workload/__init__.py
+++ b/hornbeamramp/workload/__init__.py
@@ -1,6 +1,13 @@
 """What callers and operators hand in: jobs made of steps, queues, pools and their configuration."""
 
-from hornbeamramp.workload.config import URGENT, AdviceTerms, ClusterConfig, Pool, Queue, Target
+from hornbeamramp.workload.config import (
+    URGENT,
+    AdviceTiming,
+    ClusterConfig,
+    Pool,
+    Queue,
+    RouteMatch,
+)
 from hornbeamramp.workload.model import (
     MAX_TASKS,
     TERMINAL_PHASES,
@@ -16,15 +23,15 @@
     "MAX_TASKS",
     "TERMINAL_PHASES",
     "URGENT",
-    "AdviceTerms",
+    "AdviceTiming",
     "ClusterConfig",
     "JobPhase",
     "JobSpec",
     "Pool",
     "Queue",
+    "RouteMatch",
     "StepKey",
     "StepSpec",
-    "Target",
     "check_job",
     "task_name",
 ]
--- a/hornbeamramp/workload/config.py
+++ b/hornbeamramp/workload/config.py
@@ -6,13 +6,13 @@
 
 from hornbeamramp.ids import PoolName, RouteName
 
-__all__ = ["URGENT", "AdviceTerms", "ClusterConfig", "Pool", "Queue", "Target"]
+__all__ = ["URGENT", "AdviceTiming", "ClusterConfig", "Pool", "Queue", "RouteMatch"]
 
 # Priority of queues that come first.
 URGENT = 0
 
 
-class AdviceTerms(msgspec.Struct, frozen=True):
+class AdviceTiming(msgspec.Struct, frozen=True):
     """Cost of asking which workers may run a step, and how long a ticket stays valid."""
 
     base: timedelta
@@ -36,7 +36,7 @@
     stretch: float
     target: timedelta
     timeout: timedelta
-    advice: AdviceTerms | None = None
+    advice: AdviceTiming | None = None
 
 
 class Pool(msgspec.Struct, frozen=True):
@@ -49,11 +49,11 @@
     health_path: str = ""
 
 
-class Target(msgspec.Struct, frozen=True):
+class RouteMatch(msgspec.Struct, frozen=True):
     """What a caller's host and path name: a queue and the rest of the path."""
 
     queue: Queue
-    rest: str
+    path_suffix: str
 
 
 class ClusterConfig(msgspec.Struct, frozen=True):
@@ -65,7 +65,7 @@
     max_header_bytes: int = 16_384
     max_body_bytes: int = 262_144
 
-    def match(self, host: str, path: str) -> Target | None:
+    def match(self, host: str, path: str) -> RouteMatch | None:
         """Returns the queue with the longest prefix of ``path`` on ``host``."""
         matching = [
             queue
@@ -75,4 +75,4 @@
         if not matching:
             return None
         best = max(matching, key=lambda queue: len(queue.prefix))
-        return Target(best, path[len(best.prefix) :])
+        return RouteMatch(best, path[len(best.prefix) :])
--- a/tests/model/cell.py
+++ b/tests/model/cell.py
@@ -27,7 +27,7 @@
     VmIdentity,
 )
 from hornbeamramp.workload import (
-    AdviceTerms,
+    AdviceTiming,
     ClusterConfig,
     JobPhase,
     JobSpec,
@@ -52,7 +52,7 @@
     name: str = "gate", priority: int = 0, advice: bool = True, decide_ms: float = 10.0
 ) -> Queue:
     """Returns a queue of the pool, with the time in which the advice service decides."""
-    terms = AdviceTerms(
+    terms = AdviceTiming(
         timedelta(milliseconds=decide_ms), timedelta(milliseconds=0.2), timedelta(seconds=2)
     )
     return Queue(
--- a/tests/platform/test_decoding.py
+++ b/tests/platform/test_decoding.py
@@ -56,7 +56,7 @@
     wire = {**CONFIG, "routes": [ROUTE, longer]}
     config = decode_config(item("op/config", wire)).unwrap()
     assert config.match("kaya.example", "/gate/fast/ab").queue.name == "r-2"
-    assert config.match("kaya.example", "/gate/ab").rest == "ab"
+    assert config.match("kaya.example", "/gate/ab").path_suffix == "ab"
     assert config.match("other.example", "/gate/ab") is None
 
 
--- a/tests/poolowner/test_outlook.py
+++ b/tests/poolowner/test_outlook.py
@@ -4,8 +4,8 @@
 
 import pytest
 
-from hornbeamramp.poolowner.outlook import Chain, Outlook, prospect, return_after
-from hornbeamramp.workload import AdviceTerms, StepSpec
+from hornbeamramp.poolowner.outlook import Chain, Outlook, prospect, retry_delay
+from hornbeamramp.workload import AdviceTiming, StepSpec
 from tests.model.cell import job, queue
 from tests.poolowner.builders import record
 
@@ -14,13 +14,13 @@
     StepSpec(1, estimate_ms=3000),
     StepSpec(1, estimate_ms=500, after=(0, 1)),
 )
-TERMS = AdviceTerms(timedelta(milliseconds=40), timedelta(milliseconds=2), timedelta(seconds=1))
+TERMS = AdviceTiming(timedelta(milliseconds=40), timedelta(milliseconds=2), timedelta(seconds=1))
 
 
-def at(now_ms, step=0, correction=1.0, terms=None, steps=STEPS):
+def at(now_ms, step=0, correction=1.0, timing=None, steps=STEPS):
     """Returns the prospect of a step whose job was accepted at 0, with stretch 2 and 1 s on top."""
     job = record(*steps, stretch=2.0, target_ms=1000)
-    return prospect(job, Chain.of(steps), step, 0, now_ms, correction, terms)
+    return prospect(job, Chain.of(steps), step, 0, now_ms, correction, timing)
 
 
 def test_chain_is_the_longest_way_through_the_steps():
@@ -51,7 +51,7 @@
 
 
 def test_a_question_for_each_step_counts_as_work():
-    assert at(0, step=1, terms=TERMS).begin_by_ms == 2 * 3700 + 1000 - 3700
+    assert at(0, step=1, timing=TERMS).begin_by_ms == 2 * 3700 + 1000 - 3700
 
 
 def test_long_running_tasks_are_never_late():
@@ -71,5 +71,5 @@
 )
 def test_callers_refused_in_an_outage_return_by_what_their_jobs_can_wait(steps, seconds):
     """All returned after three seconds; for a quote that was too late in any case."""
-    terms = queue(advice=False)
-    assert return_after(terms, job(*steps)).total_seconds() == seconds
+    gate = queue(advice=False)
+    assert retry_delay(gate, job(*steps)).total_seconds() == seconds
--- a/tests/vm/test_advice_queue.py
+++ b/tests/vm/test_advice_queue.py
@@ -10,12 +10,12 @@
 from hornbeamramp.states import Step
 from hornbeamramp.vm.advice_queue import AdviceQueue, SpreadAdvice
 from hornbeamramp.vm.messages import AdviseReply
-from hornbeamramp.workload import AdviceTerms, StepKey
+from hornbeamramp.workload import AdviceTiming, StepKey
 from tests.model.virtual_time import LoopClock, run_in_virtual_time
 
 STEP = StepKey("a" * 16, 0, 0)
-COSTLY = AdviceTerms(timedelta(milliseconds=500), timedelta(0), timedelta(seconds=2))
-CHEAP = AdviceTerms(timedelta(milliseconds=10), timedelta(0), timedelta(seconds=2))
+COSTLY = AdviceTiming(timedelta(milliseconds=500), timedelta(0), timedelta(seconds=2))
+CHEAP = AdviceTiming(timedelta(milliseconds=10), timedelta(0), timedelta(seconds=2))
 NO_DEFERRAL = timedelta(0)
 SECOND = timedelta(seconds=1)
 
