--- a/hornbeamramp/poolowner/__init__.py
+++ b/hornbeamramp/poolowner/__init__.py
@@ -1,7 +1,7 @@
 """The owner of a pool: accepts its jobs, places their tasks on its workers, and records it all."""
 
 from hornbeamramp.poolowner.advice import Advice, AdviceSource, AdviceUnavailableError
-from hornbeamramp.poolowner.outlook import retry_delay
+from hornbeamramp.poolowner.lateness import retry_delay
 from hornbeamramp.poolowner.owner import OwnerContext, PoolOwner, Refusal
 
 __all__ = [
--- a/hornbeamramp/poolowner/jobs.py
+++ b/hornbeamramp/poolowner/jobs.py
@@ -6,7 +6,7 @@
 from hornbeamramp.fleet import Attempt
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.poolowner.advice import Grants
-from hornbeamramp.poolowner.outlook import Chain, Outlook, Prospect
+from hornbeamramp.poolowner.lateness import Chain, Outlook, Prospect
 from hornbeamramp.resources import Resources
 from hornbeamramp.statestore import JobProgress, JobRecord, OpenTask, StepGrants
 from hornbeamramp.workload import TERMINAL_PHASES, JobPhase, StepKey, StepSpec, task_name
--- a/hornbeamramp/poolowner/launch.py
+++ b/hornbeamramp/poolowner/launch.py
@@ -20,7 +20,7 @@
 from hornbeamramp.poolowner.choice import could_ever_run
 from hornbeamramp.poolowner.jobs import StepRun, Unit
 from hornbeamramp.poolowner.journal import Journal
-from hornbeamramp.poolowner.outlook import Outlook
+from hornbeamramp.poolowner.lateness import Outlook
 from hornbeamramp.statestore import ClaimLostError
 from hornbeamramp.workload import URGENT, Queue
 
--- a/hornbeamramp/poolowner/owner.py
+++ b/hornbeamramp/poolowner/owner.py
@@ -31,9 +31,9 @@
 from hornbeamramp.poolowner.checks import RunChecks
 from hornbeamramp.poolowner.jobs import Job
 from hornbeamramp.poolowner.journal import Journal
+from hornbeamramp.poolowner.lateness import retry_delay
 from hornbeamramp.poolowner.launch import Launcher
 from hornbeamramp.poolowner.lifecycle import JobLifecycle
-from hornbeamramp.poolowner.outlook import retry_delay
 from hornbeamramp.poolowner.placer import Placer
 from hornbeamramp.poolowner.recovery import ghost_listing, read_jobs
 from hornbeamramp.statestore import (
--- a/hornbeamramp/poolowner/placer.py
+++ b/hornbeamramp/poolowner/placer.py
@@ -15,8 +15,8 @@
 from hornbeamramp.poolowner.choice import choose_workers, could_all_run, could_ever_run
 from hornbeamramp.poolowner.health import WorkerHealth
 from hornbeamramp.poolowner.jobs import StepRun, Unit
+from hornbeamramp.poolowner.lateness import Outlook, Prospect, prospect
 from hornbeamramp.poolowner.launch import Launcher
-from hornbeamramp.poolowner.outlook import Outlook, Prospect, prospect
 from hornbeamramp.poolowner.preemption import choose_victims, coming_room
 from hornbeamramp.poolowner.speeds import WorkerSpeeds
 from hornbeamramp.resources import Resources
--- a/tests/poolowner/test_outlook.py
+++ b/tests/poolowner/test_lateness.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from hornbeamramp.poolowner.outlook import Chain, Outlook, prospect, retry_delay
+from hornbeamramp.poolowner.lateness import Chain, Outlook, prospect, retry_delay
 from hornbeamramp.workload import AdviceTiming, StepSpec
 from tests.model.cell import job, queue
 from tests.poolowner.builders import record
