--- a/hornbeamramp/poolowner/checks.py
+++ b/hornbeamramp/poolowner/checks.py
@@ -7,7 +7,7 @@
 from hornbeamramp.clock import Clock
 from hornbeamramp.fleet import AttemptPhase
 from hornbeamramp.ids import UpstreamId
-from hornbeamramp.poolowner.health import stalled
+from hornbeamramp.poolowner.health import stalled_attempts
 from hornbeamramp.poolowner.pacing import Pacer
 from hornbeamramp.poolowner.placer import Placer
 
@@ -30,14 +30,14 @@
 
     def run(self) -> None:
         """Makes all checks once."""
-        self._leave_draining_workers()
-        self._pace_filling_tasks()
+        self._evacuate_draining_workers()
+        self._pace_best_effort_tasks()
         self._restart_stalled()
 
     def _restart_stalled(self) -> None:
         """Stops tasks that stand still; they start again on another worker."""
         now = self._clock.boot_time()
-        for attempt in stalled(self._owner.session_by_worker.values(), now):
+        for attempt in stalled_attempts(self._owner.session_by_worker.values(), now):
             _log.warning(
                 "{} run {} on {} stands still at {}%",
                 attempt.name,
@@ -45,17 +45,17 @@
                 attempt.session.worker,
                 attempt.percent,
             )
-            self._placer.health.note_stall(attempt, now)
-            attempt.task.unit.avoid.add(UpstreamId(attempt.session.worker))
+            self._placer.health.record_stall(attempt, now)
+            attempt.task.unit.avoided_workers.add(UpstreamId(attempt.session.worker))
             attempt.session.stop(attempt)
 
-    def _pace_filling_tasks(self) -> None:
+    def _pace_best_effort_tasks(self) -> None:
         now = self._clock.boot_time()
         for attempt, percent in self._pacer.changes(self._owner.session_by_worker.values(), now):
             _log.info("{} on {} paced to {}%", attempt.name, attempt.session.worker, percent)
             self._owner.spawn(attempt.session.pace(attempt, percent))
 
-    def _leave_draining_workers(self) -> None:
+    def _evacuate_draining_workers(self) -> None:
         """Moves long-running tasks off workers that are about to end them anyway."""
         for session in self._owner.session_by_worker.values():
             if not session.listing.draining:
--- a/hornbeamramp/poolowner/jobs.py
+++ b/hornbeamramp/poolowner/jobs.py
@@ -6,7 +6,7 @@
 from hornbeamramp.fleet import Attempt
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.poolowner.advice import Grants
-from hornbeamramp.poolowner.lateness import Chain, Outlook, Prospect
+from hornbeamramp.poolowner.lateness import CriticalPath, Lateness, LatenessLevel
 from hornbeamramp.resources import Resources
 from hornbeamramp.statestore import JobProgress, JobRecord, OpenTask, StepGrants
 from hornbeamramp.workload import TERMINAL_PHASES, JobPhase, StepKey, StepSpec, task_name
@@ -32,11 +32,11 @@
 
     `run`
         Number of the latest start, shared by a gang's members.
-    `avoid`
+    `avoided_workers`
         Workers on which a run ended badly.
     """
 
-    __slots__ = ("avoid", "checkpoint", "failed_run", "failures", "run", "step", "tasks")
+    __slots__ = ("avoided_workers", "checkpoint", "failed_run", "failures", "run", "step", "tasks")
 
     def __init__(self, step: "StepRun", indices: range) -> None:
         self.step = step
@@ -45,7 +45,7 @@
         self.failures = 0
         self.failed_run = 0
         self.checkpoint = ""
-        self.avoid: set[UpstreamId] = set()
+        self.avoided_workers: set[UpstreamId] = set()
 
     @property
     def is_done(self) -> bool:
@@ -77,9 +77,9 @@
         self.is_open = False
         self.grants = Grants()
         # When runs were last looked for that could be stopped for this step.
-        self.searched_at: timedelta | None = None
+        self.preemption_checked_at: timedelta | None = None
         # As of the latest pass of the placer.
-        self.prospect = Prospect(Outlook.IN_TIME, 0.0)
+        self.lateness = Lateness(LatenessLevel.ON_TIME, 0.0)
 
     @property
     def is_done(self) -> bool:
@@ -100,7 +100,7 @@
 
     def __init__(self, record: JobRecord) -> None:
         self.record = record
-        self.chain = Chain.of(record.spec.steps)
+        self.critical_path = CriticalPath.of(record.spec.steps)
         self.phase = JobPhase.QUEUED
         # The phase that is in the store. Callers are shown no other, as only that one lasts.
         self.recorded_phase = JobPhase.QUEUED
--- a/hornbeamramp/poolowner/journal.py
+++ b/hornbeamramp/poolowner/journal.py
@@ -27,7 +27,7 @@
 # Pause before each commit. Within it the advice for an urgent job arrives (15 ms), so that a job is
 # accepted and placed by one commit. Each store call has a price, and all VMs share the store's
 # write rate; 20 ms are a fiftieth of the shortest job's time.
-GATHERING_PAUSE = timedelta(milliseconds=20)
+GROUP_COMMIT_DELAY = timedelta(milliseconds=20)
 
 _log = logbook.Logger("journal")
 
@@ -47,20 +47,20 @@
         self._clock = clock
         self._on_insert = on_insert
         self._claim = claim
-        self._room = store.max_entries - claim.own_entries
-        self._touched = 0
-        self._touch_by_job: dict[Job, int] = {}
+        self._max_entries = store.max_entries - claim.own_entries
+        self._last_sequence = 0
+        self._sequence_by_job: dict[Job, int] = {}
         self._in_flight: dict[Job, int] = {}
         self._insert_by_id: dict[JobId, tuple[Job, asyncio.Future[None]]] = {}
         self._purged: list[JobId] = []
         self._waiters: list[tuple[int, asyncio.Future[None]]] = []
         self._wake = asyncio.Event()
-        self._lost: ClaimLostError | None = None
+        self._claim_error: ClaimLostError | None = None
 
-    def touch(self, job: Job) -> None:
+    def mark_dirty(self, job: Job) -> None:
         """Has a job's progress written with the next commit that has room."""
-        self._touched += 1
-        self._touch_by_job.setdefault(job, self._touched)
+        self._last_sequence += 1
+        self._sequence_by_job.setdefault(job, self._last_sequence)
         self._wake.set()
 
     def insert(self, job: Job) -> None:
@@ -69,8 +69,8 @@
         The job is handed to ``on_insert`` when its record is in the store. If there is a record of
         its id already, the job is closed.
         """
-        if self._lost is not None:
-            raise self._lost
+        if self._claim_error is not None:
+            raise self._claim_error
         future = asyncio.get_running_loop().create_future()
         self._insert_by_id[job.record.job_id] = (job, future)
         self._wake.set()
@@ -92,11 +92,11 @@
 
     async def recorded(self) -> None:
         """Returns once all touches so far are in the store. Raises `ClaimLostError`."""
-        if self._lost is not None:
-            raise self._lost
-        if self._touch_by_job or self._in_flight:
+        if self._claim_error is not None:
+            raise self._claim_error
+        if self._sequence_by_job or self._in_flight:
             future = asyncio.get_running_loop().create_future()
-            self._waiters.append((self._touched, future))
+            self._waiters.append((self._last_sequence, future))
             self._wake.set()
             await future
 
@@ -106,33 +106,33 @@
             while True:
                 await self._wake.wait()
                 self._wake.clear()
-                while self._touch_by_job or self._insert_by_id or self._purged:
-                    await self._clock.sleep(GATHERING_PAUSE)
+                while self._sequence_by_job or self._insert_by_id or self._purged:
+                    await self._clock.sleep(GROUP_COMMIT_DELAY)
                     await self._commit_batch()
         except ClaimLostError as error:
             self._fail(error)
             raise
 
     async def _commit_batch(self) -> None:
-        room = self._room
-        inserts = dict(list(self._insert_by_id.items())[: room // 2])
-        room -= 2 * len(inserts)
+        free = self._max_entries
+        inserts = dict(list(self._insert_by_id.items())[: free // 2])
+        free -= 2 * len(inserts)
         unrecorded = {job for i, (job, _) in self._insert_by_id.items() if i not in inserts}
-        touched = dict(
-            [row for row in self._touch_by_job.items() if row[0] not in unrecorded][:room]
+        dirty = dict(
+            [item for item in self._sequence_by_job.items() if item[0] not in unrecorded][:free]
         )
-        room -= len(touched)
-        purged = self._purged[: room // 2]
+        free -= len(dirty)
+        purged = self._purged[: free // 2]
         puts = [
             Put(job_key(self._pool, job_id), encode(job.record))
             for job_id, (job, _) in inserts.items()
         ]
-        phase_by_job = {job: job.phase for job in touched}
-        for job in touched:
-            del self._touch_by_job[job]
+        phase_by_job = {job: job.phase for job in dirty}
+        for job in dirty:
+            del self._sequence_by_job[job]
             puts.append(Put(progress_key(self._pool, job.record.job_id), encode(job.progress())))
         deletes = [key(self._pool, job_id) for job_id in purged for key in (job_key, progress_key)]
-        self._in_flight = touched
+        self._in_flight = dirty
         started = self._clock.boot_time()
         try:
             await self._claim.commit(
@@ -140,8 +140,10 @@
             )
         except KeysExistError as conflict:
             # Earlier touches stay first, so that no waiter is passed over.
-            self._touch_by_job = {**self._touch_by_job, **touched}
-            self._touch_by_job = dict(sorted(self._touch_by_job.items(), key=lambda row: row[1]))
+            self._sequence_by_job = {**self._sequence_by_job, **dirty}
+            self._sequence_by_job = dict(
+                sorted(self._sequence_by_job.items(), key=lambda item: item[1])
+            )
             self._drop_existing(conflict, inserts)
             return
         finally:
@@ -169,23 +171,23 @@
                 del self._insert_by_id[job_id]
                 # Capacity reserved ahead of the record is released, and no progress is written.
                 job.close(JobPhase.CANCELLED, 0)
-                self._touch_by_job.pop(job, None)
+                self._sequence_by_job.pop(job, None)
                 if not future.done():
                     future.set_result(None)
         self._resolve_waiters()
 
     def _resolve_waiters(self) -> None:
-        oldest = min(self._touch_by_job.values(), default=self._touched + 1)
-        left = []
-        for touch, future in self._waiters:
-            if touch >= oldest:
-                left.append((touch, future))
+        oldest = min(self._sequence_by_job.values(), default=self._last_sequence + 1)
+        remaining = []
+        for sequence, future in self._waiters:
+            if sequence >= oldest:
+                remaining.append((sequence, future))
             elif not future.done():
                 future.set_result(None)
-        self._waiters = left
+        self._waiters = remaining
 
     def _fail(self, error: ClaimLostError) -> None:
-        self._lost = error
+        self._claim_error = error
         futures = [future for _, future in self._insert_by_id.values()]
         futures += [future for _, future in self._waiters]
         for future in futures:
--- a/hornbeamramp/poolowner/lifecycle.py
+++ b/hornbeamramp/poolowner/lifecycle.py
@@ -44,13 +44,13 @@
         if self._placer.add(job.ready_steps()):
             self._owner.wake()
 
-    def note_started(self, job: Job) -> None:
+    def mark_started(self, job: Job) -> None:
         """Notes that a task of the job has begun."""
         if job.phase is JobPhase.QUEUED:
             job.phase = JobPhase.RUNNING
-            self._journal.touch(job)
-            waited = (self._owner.now_ms() - job.record.accepted_ms) / 1000
-            instruments.first_start_time.record(waited, {"queue": job.record.queue})
+            self._journal.mark_dirty(job)
+            wait_s = (self._owner.now_ms() - job.record.accepted_ms) / 1000
+            instruments.first_start_time.record(wait_s, {"queue": job.record.queue})
 
     def apply_end(self, attempt: Attempt, how: HowEnded, checkpoint: str) -> None:
         """Applies the end of a run."""
@@ -60,7 +60,7 @@
         task.attempt = None
         self._owner.wake()
         instruments.run_ends.add(1, {"how": how.value})
-        self._placer.note_end(attempt, how)
+        self._placer.record_end(attempt, how)
         if job.is_ended:
             return
         if checkpoint:
@@ -70,9 +70,9 @@
             for member in unit.tasks:
                 member.is_done = True
         elif how is HowEnded.FAILED:
-            _note_failure(unit, attempt)
+            _count_failure(unit, attempt)
         elif how in (HowEnded.LAPSED, HowEnded.LOST):
-            unit.avoid.add(UpstreamId(attempt.session.worker))
+            unit.avoided_workers.add(UpstreamId(attempt.session.worker))
         if how is not HowEnded.DONE:
             _log.info(
                 "{} run {} on {} ended {} at {}%, failures {}",
@@ -83,7 +83,7 @@
                 attempt.percent,
                 unit.failures,
             )
-        self._journal.touch(job)
+        self._journal.mark_dirty(job)
         if not unit.is_done:
             self.retry(unit)
         if job.is_complete():
@@ -114,17 +114,17 @@
     def finish(self, job: Job, phase: JobPhase) -> None:
         """Ends a job. Its runs are stopped and leave the ledger as workers list their ends."""
         job.close(phase, self._owner.now_ms())
-        self._journal.touch(job)
-        took_ms = job.ended_ms - job.record.accepted_ms
-        _log.info("{} {} after {} ms", job.record.job_id, phase.value, took_ms)
+        self._journal.mark_dirty(job)
+        elapsed_ms = job.ended_ms - job.record.accepted_ms
+        _log.info("{} {} after {} ms", job.record.job_id, phase.value, elapsed_ms)
         for attempt in list(job.attempts()):
             if attempt.phase is not AttemptPhase.RESERVED:
                 attempt.session.stop(attempt)
 
 
-def _note_failure(unit: Unit, attempt: Attempt) -> None:
+def _count_failure(unit: Unit, attempt: Attempt) -> None:
     """Counts a failure, once for all members of a gang."""
-    unit.avoid.add(UpstreamId(attempt.session.worker))
+    unit.avoided_workers.add(UpstreamId(attempt.session.worker))
     if unit.failed_run == attempt.run:
         return
     unit.failed_run = attempt.run
--- a/hornbeamramp/poolowner/owner.py
+++ b/hornbeamramp/poolowner/owner.py
@@ -35,7 +35,7 @@
 from hornbeamramp.poolowner.launch import Launcher
 from hornbeamramp.poolowner.lifecycle import JobLifecycle
 from hornbeamramp.poolowner.placer import Placer
-from hornbeamramp.poolowner.recovery import ghost_listing, read_jobs
+from hornbeamramp.poolowner.recovery import placeholder_listing, read_jobs
 from hornbeamramp.statestore import (
     ClaimLostError,
     JobProgress,
@@ -49,17 +49,17 @@
 
 # Time for which an owner goes on extending leases after its claim's last proof. With the leases of
 # 6 s themselves, store outages of up to ten seconds cost no running task.
-EXTENSION_WITHOUT_CLAIM = timedelta(seconds=3)
+LEASE_EXTENSION_GRACE = timedelta(seconds=3)
 # Longest lease that a former owner can have given to a worker this owner doesn't reach: its
 # extension, the lease of 6 s on a clock that is 2% slow, and a second for calls on their way.
-UNSEEN_LEASE = EXTENSION_WITHOUT_CLAIM + timedelta(seconds=7.2)
+MAX_FORMER_OWNER_LEASE = LEASE_EXTENSION_GRACE + timedelta(seconds=7.2)
 # Period of the checks that no event triggers: due times, lapsed tickets, retention.
-TICK = timedelta(milliseconds=200)
+CHECK_INTERVAL = timedelta(milliseconds=200)
 # Least time between two passes of the placer. Ends and jobs come in groups, with the answers of
 # hold calls and commits.
-SHORTEST_GAP = timedelta(milliseconds=2)
+MIN_SCHEDULING_INTERVAL = timedelta(milliseconds=2)
 # A job whose commit waits for longer than this is refused at once: the store doesn't answer.
-STORE_PATIENCE = timedelta(milliseconds=600)
+MAX_STORE_OUTAGE = timedelta(milliseconds=600)
 # Kept beyond the time for which callers may ask for the state of an ended job.
 RETENTION_MARGIN = timedelta(seconds=30)
 
@@ -97,7 +97,7 @@
         The pool.
     `claim`
         An acquired claim.
-    `claim_guard`
+    `claim_valid_until`
         Gives the boot time until which the claim certainly holds.
     """
 
@@ -106,7 +106,7 @@
         pool: PoolName,
         claim: PoolClaim,
         context: OwnerContext,
-        claim_guard: Callable[[], timedelta],
+        claim_valid_until: Callable[[], timedelta],
     ) -> None:
         self.pool = pool
         self.token = claim.token
@@ -117,7 +117,7 @@
         self._workers = context.workers
         self._retention = context.job_retention + RETENTION_MARGIN
         self._longest_lease = context.longest_lease
-        self._guard = claim_guard
+        self._claim_valid_until = claim_valid_until
         self._background = BackgroundTasks(f"pool {pool}", _log)
         self._journal = Journal(pool, claim, context.store, context.clock, self._on_recorded)
         self._launcher = Launcher(self, context.advice, context.clock, self._journal)
@@ -144,8 +144,8 @@
             self.job_by_id[record.job_id] = job
             self._restore(job, progress, listings)
         self.set_workers(listings)
-        self.spawn(self._keep_journal())
-        self.spawn(self._keep_schedule())
+        self.spawn(self._run_journal())
+        self.spawn(self._run_scheduler())
         self.is_ready = True
         instruments.takeovers.add(1, {"pool": self.pool})
         _log.info(
@@ -159,13 +159,15 @@
     def _restore(
         self, job: Job, progress: JobProgress, listings: dict[UpstreamId, WorkerListing]
     ) -> None:
-        for task, row in job.restore(progress):
-            session = self.session_by_worker.get(row.worker)
+        for task, open_task in job.restore(progress):
+            session = self.session_by_worker.get(open_task.worker)
             if session is None:
-                session = self._open_session(listings.get(row.worker) or ghost_listing(row.worker))
-            attempt = Attempt(task, task.name, row.run, task.unit.step.size, session)
+                session = self._open_session(
+                    listings.get(open_task.worker) or placeholder_listing(open_task.worker)
+                )
+            attempt = Attempt(task, task.name, open_task.run, task.unit.step.size, session)
             attempt.phase = AttemptPhase.UNCERTAIN
-            attempt.checkpoint = row.checkpoint
+            attempt.checkpoint = open_task.checkpoint
             session.reserve(attempt)
             task.attempt = attempt
         self.lifecycle.open_due(job)
@@ -181,7 +183,7 @@
         """
         self._is_releasing = True
         self.is_ready = False
-        await self._launcher.settle()
+        await self._launcher.wait_idle()
         try:
             await self._journal.recorded()
         except ClaimLostError as error:
@@ -195,14 +197,14 @@
         self.is_lost.set()
         await self._background.cancel()
 
-    def mark_lost(self, why: str) -> None:
+    def mark_lost(self, reason: str) -> None:
         """Notes that another process may own the pool."""
         if not self.is_lost.is_set():
-            _log.warning("{}: the claim with token {} is lost: {}", self.pool, self.token, why)
+            _log.warning("{}: the claim with token {} is lost: {}", self.pool, self.token, reason)
         self.is_ready = False
         self.is_lost.set()
 
-    async def _keep_journal(self) -> None:
+    async def _run_journal(self) -> None:
         try:
             await self._journal.run()
         except ClaimLostError as error:
@@ -218,11 +220,11 @@
         return (
             not self._is_releasing
             and not self.is_lost.is_set()
-            and self._clock.boot_time() < self._guard()
+            and self._clock.boot_time() < self._claim_valid_until()
         )
 
     def may_extend(self) -> bool:
-        limit = self._guard() + EXTENSION_WITHOUT_CLAIM
+        limit = self._claim_valid_until() + LEASE_EXTENSION_GRACE
         return not self.is_lost.is_set() and self._clock.boot_time() < limit
 
     def on_running(self, attempt: Attempt) -> None:
@@ -230,7 +232,7 @@
         if job.is_ended:
             attempt.session.stop(attempt)
         else:
-            self.lifecycle.note_started(job)
+            self.lifecycle.mark_started(job)
 
     def on_room(self, session: WorkerSession) -> None:
         self._wake.set()
@@ -255,9 +257,9 @@
         if job_id in self.job_by_id:
             return None
         failing = self._claim.failing_since
-        is_out = failing is not None and self._clock.boot_time() - failing > STORE_PATIENCE
+        is_store_down = failing is not None and self._clock.boot_time() - failing > MAX_STORE_OUTAGE
         # An earlier call's record may still be written, so a refusal would not be certain.
-        if is_out and not self._journal.is_inserting(job_id):
+        if is_store_down and not self._journal.is_inserting(job_id):
             return Refusal("the store does not answer", retry_delay(queue, spec))
         record = JobRecord(
             job_id=job_id,
@@ -332,7 +334,7 @@
             self._clock,
             self,
             self._background,
-            UNSEEN_LEASE,
+            MAX_FORMER_OWNER_LEASE,
             self._longest_lease,
         )
         session.is_listed = bool(listing.address)
@@ -346,21 +348,23 @@
             del self.session_by_worker[UpstreamId(session.worker)]
             self._placer.forget(UpstreamId(session.worker))
 
-    async def _keep_schedule(self) -> None:
+    async def _run_scheduler(self) -> None:
         checked_at = self._clock.boot_time()
         while not self.is_lost.is_set():
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TICK.total_seconds()):
+                async with asyncio.timeout(CHECK_INTERVAL.total_seconds()):
                     await self._wake.wait()
-            if self._clock.boot_time() - checked_at >= TICK:
+            if self._clock.boot_time() - checked_at >= CHECK_INTERVAL:
                 checked_at = self._clock.boot_time()
                 self._check_jobs()
             self._wake.clear()
-            began = self._clock.boot_time()
+            started_at = self._clock.boot_time()
             self._placer.schedule()
             # Events that arrive meanwhile are handled by one pass, and passes take at most half of
             # the processor's time, however long the queue is.
-            await self._clock.sleep(max(self._clock.boot_time() - began, SHORTEST_GAP))
+            await self._clock.sleep(
+                max(self._clock.boot_time() - started_at, MIN_SCHEDULING_INTERVAL)
+            )
 
     def _check_jobs(self) -> None:
         now_ms = self.now_ms()
--- a/hornbeamramp/poolowner/placer.py
+++ b/hornbeamramp/poolowner/placer.py
@@ -15,9 +15,9 @@
 from hornbeamramp.poolowner.choice import choose_workers, could_all_run, could_ever_run
 from hornbeamramp.poolowner.health import WorkerHealth
 from hornbeamramp.poolowner.jobs import StepRun, Unit
-from hornbeamramp.poolowner.lateness import Outlook, Prospect, prospect
+from hornbeamramp.poolowner.lateness import Lateness, LatenessLevel, estimate_lateness
 from hornbeamramp.poolowner.launch import Launcher
-from hornbeamramp.poolowner.preemption import choose_victims, coming_room
+from hornbeamramp.poolowner.preemption import choose_victims, expected_slots
 from hornbeamramp.poolowner.speeds import WorkerSpeeds
 from hornbeamramp.resources import Resources
 
@@ -28,11 +28,11 @@
 
 # Steps of a pool that keep their tickets fresh while they wait for room. Each takes up to half of
 # a VM's turn at the advice service.
-MAX_STEPS_AHEAD = 3
+MAX_PREFETCHING_STEPS = 3
 # Tasks of one step for which runs are preempted at a time; more would outrun the next list.
-MAX_PREEMPTED_FOR = 16
+MAX_TASKS_PER_PREEMPTION = 16
 # Pause between two searches for runs to stop for one step; what is stopped ends within 200 ms.
-SEARCH_PERIOD = timedelta(milliseconds=100)
+PREEMPTION_INTERVAL = timedelta(milliseconds=100)
 
 _log = logbook.Logger("owner")
 
@@ -41,7 +41,7 @@
     """Workers of one pass: those that may be used, and those of them with room for any step."""
 
     usable_by_id: dict[UpstreamId, WorkerSession]
-    with_room: list[WorkerSession]
+    with_capacity: list[WorkerSession]
 
 
 class Placer:
@@ -67,16 +67,16 @@
         if unit.step not in self._open_steps:
             self._open_steps.append(unit.step)
 
-    def note_end(self, attempt: Attempt, how: HowEnded) -> None:
+    def record_end(self, attempt: Attempt, how: HowEnded) -> None:
         """Learns from the end of a run."""
         now = self._clock.boot_time()
         worker = UpstreamId(attempt.session.worker)
-        was_aside = self.health.is_aside(worker, now)
-        self.health.note_end(attempt, how, now)
-        if self.health.is_aside(worker, now) and not was_aside:
+        was_quarantined = self.health.is_quarantined(worker, now)
+        self.health.record_end(attempt, how, now)
+        if self.health.is_quarantined(worker, now) and not was_quarantined:
             _log.warning("worker {} fails task after task; set aside", worker)
         if how is HowEnded.DONE and attempt.started_at is not None and not attempt.resumed:
-            self.speeds.note(attempt, (now - attempt.started_at).total_seconds(), 1.0)
+            self.speeds.record_run(attempt, (now - attempt.started_at).total_seconds(), 1.0)
 
     def forget(self, worker: UpstreamId) -> None:
         """Drops what is known of a worker that has left."""
@@ -92,22 +92,22 @@
             step for step in self._open_steps if step.waiting and not step.job.is_ended
         ]
         for step in self._open_steps:
-            step.prospect = self._prospect(step)
-        self._open_steps.sort(key=_order)
-        workers = self._survey()
-        ahead = MAX_STEPS_AHEAD
+            step.lateness = self._estimate_lateness(step)
+        self._open_steps.sort(key=_sort_key)
+        workers = self._usable_workers()
+        prefetches_left = MAX_PREFETCHING_STEPS
         for step in self._open_steps:
-            self._place(step, workers, ahead > 0)
+            self._place(step, workers, prefetches_left > 0)
             # What still waits after its turn is next when capacity is freed. Steps that no worker
             # may run stay in the queue indefinitely, and would keep the others from being next.
-            ahead -= bool(step.waiting and self._is_possible(step))
+            prefetches_left -= bool(step.waiting and self._is_feasible(step))
 
-    def _survey(self) -> _Workers:
+    def _usable_workers(self) -> _Workers:
         now = self._clock.boot_time()
         usable_by_id = {
             worker: session
             for worker, session in self._owner.session_by_worker.items()
-            if session.usable and not self.health.is_aside(worker, now)
+            if session.usable and not self.health.is_quarantined(worker, now)
         }
         sizes = [step.size for step in self._open_steps]
         smallest = Resources(
@@ -115,30 +115,30 @@
             min((size.memory_mib for size in sizes), default=0),
             min((size.accelerators for size in sizes), default=0),
         )
-        with_room = [session for session in usable_by_id.values() if session.fits(smallest)]
-        return _Workers(usable_by_id, with_room)
+        with_capacity = [session for session in usable_by_id.values() if session.fits(smallest)]
+        return _Workers(usable_by_id, with_capacity)
 
-    def _prospect(self, step: StepRun) -> Prospect:
+    def _estimate_lateness(self, step: StepRun) -> Lateness:
         job = step.job
         queue = self._owner.queue_of(job)
-        return prospect(
+        return estimate_lateness(
             record=job.record,
-            chain=job.chain,
+            critical_path=job.critical_path,
             step=step.key.step,
             since_ms=max(job.record.accepted_ms, job.record.spec.due_ms(step.key.occurrence)),
             now_ms=self._owner.now_ms(),
-            correction=self.speeds.correction(step),
+            duration_ratio=self.speeds.duration_ratio(step),
             timing=None if queue is None else queue.advice,
         )
 
-    def _place(self, step: StepRun, workers: _Workers, is_next: bool) -> None:
+    def _place(self, step: StepRun, workers: _Workers, may_prefetch: bool) -> None:
         """Starts what fits. The steps that are next keep their tickets fresh without room too, so
         that no room stands empty while advice is asked for."""
         queue = self._owner.queue_of(step.job)
         if queue is None or queue.advice is None:
-            self._launch_on(step, workers.with_room)
+            self._launch_on(step, workers.with_capacity)
             if step.waiting:
-                self._make_room(step, workers.usable_by_id.values())
+                self._preempt(step, workers.usable_by_id.values())
             return
         now = self._clock.boot_time()
         grants = step.grants
@@ -148,26 +148,26 @@
             for worker in sorted(grants.granted)
             if worker in workers.usable_by_id
         ]
-        with_room = [session for session in granted if session.fits(step.size)]
+        with_capacity = [session for session in granted if session.fits(step.size)]
         self._launch_on(
-            step, [s for s in with_room if grants.has_ticket(UpstreamId(s.worker), now)]
+            step, [s for s in with_capacity if grants.has_ticket(UpstreamId(s.worker), now)]
         )
         if not step.waiting or grants.is_pending or now < grants.not_before:
             return
         if not self._launcher.may_ask(step):
             return
         # Room found on granted workers is kept while their tickets are renewed.
-        held = self._reserve(step, with_room)
-        if held:
-            self._launcher.ask_and_launch(step, queue, held, granted)
+        reserved = self._reserve(step, with_capacity)
+        if reserved:
+            self._launcher.renew_and_launch(step, queue, reserved, granted)
             return
-        unasked = self._unasked(step, workers, is_next)
+        unasked = self._unasked(step, workers, may_prefetch)
         if unasked:
-            self._launcher.ask_first(step, queue, unasked)
+            self._launcher.request_advice(step, queue, unasked)
         elif granted:
-            self._make_room(step, granted)
-            if is_next:
-                self._launcher.renew_ahead(step, queue, granted)
+            self._preempt(step, granted)
+            if may_prefetch:
+                self._launcher.prefetch_tickets(step, queue, granted)
 
     def _launch_on(self, step: StepRun, sessions: list[WorkerSession]) -> None:
         placed = self._reserve(step, sessions)
@@ -175,17 +175,17 @@
             self._owner.spawn(self._launcher.launch(step, placed))
 
     @staticmethod
-    def _unasked(step: StepRun, workers: _Workers, is_next: bool) -> list[WorkerSession]:
+    def _unasked(step: StepRun, workers: _Workers, may_prefetch: bool) -> list[WorkerSession]:
         """Returns workers worth a first question: those with room, or any for a step that is
         next."""
         asked = step.grants.asked
-        if is_next:
+        if may_prefetch:
             candidates = list(workers.usable_by_id.values())
         else:
-            candidates = [s for s in workers.with_room if s.fits(step.size)]
+            candidates = [s for s in workers.with_capacity if s.fits(step.size)]
         return [s for s in candidates if s.worker not in asked and could_ever_run(step, s)]
 
-    def _is_possible(self, step: StepRun) -> bool:
+    def _is_feasible(self, step: StepRun) -> bool:
         """Tells whether the workers known to be allowed could run the step if they were empty."""
         grants = step.grants
         if not grants.asked:
@@ -194,15 +194,18 @@
         granted = [by_worker[worker] for worker in grants.granted if worker in by_worker]
         return could_all_run(step.waiting[0], granted)
 
-    def _make_room(self, step: StepRun, sessions: Collection[WorkerSession]) -> None:
+    def _preempt(self, step: StepRun, sessions: Collection[WorkerSession]) -> None:
         """Stops less urgent runs for the tasks of a step that find no room."""
         now = self._clock.boot_time()
-        is_early = step.searched_at is not None and now - step.searched_at < SEARCH_PERIOD
-        if is_early or step.prospect.outlook is Outlook.TOO_LATE:
+        is_recent = (
+            step.preemption_checked_at is not None
+            and now - step.preemption_checked_at < PREEMPTION_INTERVAL
+        )
+        if is_recent or step.lateness.level is LatenessLevel.TOO_LATE:
             return
-        step.searched_at = now
+        step.preemption_checked_at = now
         wanted = sum(len(unit.tasks) for unit in step.waiting)
-        missing = min(wanted, MAX_PREEMPTED_FOR) - coming_room(step, sessions)
+        missing = min(wanted, MAX_TASKS_PER_PREEMPTION) - expected_slots(step, sessions)
         if missing <= 0:
             return
         for victim in choose_victims(step, missing, sessions, now):
@@ -221,12 +224,12 @@
         reserved: list[Unit] = []
         if not sessions:
             return reserved
-        count_on = Counter(
+        assigned_by_worker = Counter(
             attempt.session.worker for unit in step.units for attempt in unit.attempts()
         )
         while step.waiting:
             unit = step.waiting[0]
-            chosen = choose_workers(unit, sessions, self.speeds, count_on)
+            chosen = choose_workers(unit, sessions, self.speeds, assigned_by_worker)
             if chosen is None:
                 break
             step.waiting.pop(0)
@@ -236,11 +239,11 @@
                 task.attempt.checkpoint = unit.checkpoint
                 task.attempt.resumed = bool(unit.checkpoint)
                 session.reserve(task.attempt)
-                count_on[session.worker] += 1
+                assigned_by_worker[session.worker] += 1
             reserved.append(unit)
         return reserved
 
 
-def _order(step: StepRun) -> tuple[float, ...]:
-    outlook, priority = step.prospect.outlook, step.job.record.priority
-    return (outlook is Outlook.TOO_LATE, priority, outlook, step.prospect.begin_by_ms)
+def _sort_key(step: StepRun) -> tuple[float, ...]:
+    level, priority = step.lateness.level, step.job.record.priority
+    return (level is LatenessLevel.TOO_LATE, priority, level, step.lateness.latest_start_ms)
--- a/hornbeamramp/poolowner/preemption.py
+++ b/hornbeamramp/poolowner/preemption.py
@@ -7,15 +7,15 @@
 from hornbeamramp.poolowner.choice import could_ever_run
 from hornbeamramp.poolowner.jobs import StepRun
 
-__all__ = ["choose_victims", "coming_room"]
+__all__ = ["choose_victims", "expected_slots"]
 
 # A run is not stopped before it has worked for this long, so that each run makes some progress.
-SHORTEST_WORK = timedelta(seconds=1)
+MIN_RUN_TIME = timedelta(seconds=1)
 # Nearly finished runs are left alone: their room comes free soon in any case.
-LATEST_PERCENT = 90.0
+MAX_VICTIM_PERCENT = 90.0
 
 
-def _is_victim(attempt: Attempt, step: StepRun, now: timedelta) -> bool:
+def _is_preemptible(attempt: Attempt, step: StepRun, now: timedelta) -> bool:
     other = attempt.task.unit.step
     return (
         attempt.phase is AttemptPhase.RUNNING
@@ -25,12 +25,12 @@
         and not other.spec.gang
         and other.job.record.priority > step.job.record.priority
         and attempt.started_at is not None
-        and now - attempt.started_at > SHORTEST_WORK
-        and attempt.percent < LATEST_PERCENT
+        and now - attempt.started_at > MIN_RUN_TIME
+        and attempt.percent < MAX_VICTIM_PERCENT
     )
 
 
-def coming_room(step: StepRun, sessions: Iterable[WorkerSession]) -> int:
+def expected_slots(step: StepRun, sessions: Iterable[WorkerSession]) -> int:
     """Returns how many tasks of the step fit into what is free or being stopped."""
     total = 0
     for session in sessions:
@@ -40,16 +40,16 @@
     return total
 
 
-def _count_fitting(step: StepRun, session: WorkerSession, ending: Iterable[Attempt]) -> int:
-    room = list(session.free())
-    for attempt in ending:
+def _count_fitting(step: StepRun, session: WorkerSession, stopping: Iterable[Attempt]) -> int:
+    free = list(session.free())
+    for attempt in stopping:
         size = attempt.size
-        room[0] += size.processors_milli
-        room[1] += size.memory_mib
-        room[2] += size.accelerators
+        free[0] += size.processors_milli
+        free[1] += size.memory_mib
+        free[2] += size.accelerators
     size = step.size
     needs = (size.processors_milli, size.memory_mib, size.accelerators)
-    counts = [have // need for have, need in zip(room, needs, strict=True) if need]
+    counts = [have // need for have, need in zip(free, needs, strict=True) if need]
     return max(min(counts, default=0), 0)
 
 
@@ -66,10 +66,10 @@
     for session in sessions:
         if not could_ever_run(step, session):
             continue
-        candidates = [a for a in session.attempt_by_key.values() if _is_victim(a, step, now)]
+        candidates = [a for a in session.attempt_by_key.values() if _is_preemptible(a, step, now)]
         candidates.sort(key=lambda a: a.percent)
-        ending = [a for a in session.attempt_by_key.values() if a.stop_wanted]
-        chosen = _fewest(step, session, candidates, ending)
+        stopping = [a for a in session.attempt_by_key.values() if a.stop_wanted]
+        chosen = _fewest_victims(step, session, candidates, stopping)
         if chosen:
             options.append((len(chosen), session.worker, chosen))
     for _, _, chosen in sorted(options, key=lambda option: option[:2]):
@@ -80,14 +80,14 @@
     return victims
 
 
-def _fewest(
-    step: StepRun, session: WorkerSession, candidates: list[Attempt], ending: list[Attempt]
+def _fewest_victims(
+    step: StepRun, session: WorkerSession, candidates: list[Attempt], stopping: list[Attempt]
 ) -> list[Attempt]:
     """Returns the first candidates whose end lets one more task fit, or none."""
-    before = _count_fitting(step, session, ending)
+    before = _count_fitting(step, session, stopping)
     chosen: list[Attempt] = []
     for candidate in candidates:
         chosen.append(candidate)
-        if _count_fitting(step, session, [*ending, *chosen]) > before:
+        if _count_fitting(step, session, [*stopping, *chosen]) > before:
             return chosen
     return []
--- a/hornbeamramp/poolowner/recovery.py
+++ b/hornbeamramp/poolowner/recovery.py
@@ -18,7 +18,7 @@
 )
 from hornbeamramp.statestore.records import progress_prefix
 
-__all__ = ["ghost_listing", "read_jobs"]
+__all__ = ["placeholder_listing", "read_jobs"]
 
 _log = logbook.Logger("recovery")
 
@@ -43,6 +43,6 @@
     return jobs
 
 
-def ghost_listing(worker: UpstreamId) -> WorkerListing:
+def placeholder_listing(worker: UpstreamId) -> WorkerListing:
     """Returns a listing without address, for a worker that is not listed but may run tasks."""
     return WorkerListing(worker, PoolName(""), "", DataCentreId(""), True, ZERO)
--- a/tests/poolowner/test_choice.py
+++ b/tests/poolowner/test_choice.py
@@ -21,9 +21,9 @@
     return job.steps_by_occurrence[0][0].units[0]
 
 
-def choose(step, sessions, priority=0, speeds=None, count_on=None):
+def choose(step, sessions, priority=0, speeds=None, assigned_by_worker=None):
     chosen = choose_workers(
-        unit(step, priority), sessions, speeds or WorkerSpeeds(), count_on or {}
+        unit(step, priority), sessions, speeds or WorkerSpeeds(), assigned_by_worker or {}
     )
     return None if chosen is None else [s.worker for s in chosen]
 
@@ -38,7 +38,7 @@
     for _ in range(60):
         for worker, speed in speed_by_worker.items():
             attempt = SimpleNamespace(task=task, session=SimpleNamespace(worker=worker))
-            speeds.note(attempt, 1.0 / speed, 1.0)
+            speeds.record_run(attempt, 1.0 / speed, 1.0)
     return speeds
 
 
@@ -70,7 +70,7 @@
 def test_long_running_tasks_are_spread():
     sessions = [session("w0"), session("w1")]
     step = StepSpec(1, 1000, 100, long_running=True)
-    assert choose(step, sessions, 1, count_on=Counter({"w0": 1})) == ["w1"]
+    assert choose(step, sessions, 1, assigned_by_worker=Counter({"w0": 1})) == ["w1"]
 
 
 def test_gang_takes_room_on_one_rack_or_none():
@@ -96,7 +96,7 @@
 
 def test_worker_where_the_task_failed_is_chosen_last():
     step_unit = unit(SMALL)
-    step_unit.avoid.add("w0")
+    step_unit.avoided_workers.add("w0")
     [chosen] = choose_workers(step_unit, [session("w0"), session("w1")], WorkerSpeeds(), {})
     assert chosen.worker == "w1"
 
--- a/tests/poolowner/test_health.py
+++ b/tests/poolowner/test_health.py
@@ -3,7 +3,7 @@
 from datetime import timedelta
 
 from hornbeamramp.fleet import HowEnded
-from hornbeamramp.poolowner.health import WorkerHealth, stalled
+from hornbeamramp.poolowner.health import WorkerHealth, stalled_attempts
 from hornbeamramp.workload import StepSpec
 from tests.poolowner.builders import running, session
 
@@ -13,29 +13,29 @@
 
 def end_runs(health, worker, how, jobs, now=SECOND):
     for _ in range(jobs):
-        health.note_end(running(worker, SMALL), how, now)
+        health.record_end(running(worker, SMALL), how, now)
 
 
 def test_worker_that_fails_the_tasks_of_several_jobs_is_set_aside_and_tried_again():
     health, worker = WorkerHealth(), session("w0")
     end_runs(health, worker, HowEnded.FAILED, 3)
-    assert health.is_aside("w0", 2 * SECOND)
-    assert not health.is_aside("w0", 4 * SECOND)
+    assert health.is_quarantined("w0", 2 * SECOND)
+    assert not health.is_quarantined("w0", 4 * SECOND)
 
 
 def test_worker_that_goes_on_failing_is_set_aside_for_longer():
     health, worker = WorkerHealth(), session("w0")
     end_runs(health, worker, HowEnded.FAILED, 3)
     end_runs(health, worker, HowEnded.FAILED, 1, 4 * SECOND)
-    assert health.is_aside("w0", 7 * SECOND)
+    assert health.is_quarantined("w0", 7 * SECOND)
 
 
 def test_job_that_can_never_be_done_sets_no_worker_aside():
     health, worker = WorkerHealth(), session("w0")
     hopeless = running(worker, SMALL)
     for _ in range(10):
-        health.note_end(hopeless, HowEnded.FAILED, SECOND)
-    assert not health.is_aside("w0", SECOND)
+        health.record_end(hopeless, HowEnded.FAILED, SECOND)
+    assert not health.is_quarantined("w0", SECOND)
 
 
 def test_success_between_failures_clears_a_worker():
@@ -43,7 +43,7 @@
     end_runs(health, worker, HowEnded.FAILED, 2)
     end_runs(health, worker, HowEnded.DONE, 1)
     end_runs(health, worker, HowEnded.FAILED, 2)
-    assert not health.is_aside("w0", SECOND)
+    assert not health.is_quarantined("w0", SECOND)
 
 
 def test_task_without_progress_is_found_and_one_that_goes_on_is_not():
@@ -51,18 +51,18 @@
     hung, busy = running(worker, SMALL), running(worker, SMALL)
     hung.progress_at = worker.now - 4 * SECOND
     busy.progress_at = worker.now - 1 * SECOND
-    assert stalled([worker], worker.now) == [hung]
+    assert stalled_attempts([worker], worker.now) == [hung]
 
 
 def test_task_on_a_worker_that_does_not_answer_is_left_to_its_lease():
     worker = session("w0")
     running(worker, SMALL).progress_at = worker.now - 9 * SECOND
     worker.reachable = False
-    assert stalled([worker], worker.now) == []
+    assert stalled_attempts([worker], worker.now) == []
 
 
 def test_long_running_task_may_stand_at_its_percent():
     worker = session("w0")
     lasting = running(worker, StepSpec(1, 1000, 100, long_running=True))
     lasting.progress_at = worker.now - 9 * SECOND
-    assert stalled([worker], worker.now) == []
+    assert stalled_attempts([worker], worker.now) == []
--- a/tests/poolowner/test_lateness.py
+++ b/tests/poolowner/test_lateness.py
@@ -4,7 +4,12 @@
 
 import pytest
 
-from hornbeamramp.poolowner.lateness import Chain, Outlook, prospect, retry_delay
+from hornbeamramp.poolowner.lateness import (
+    CriticalPath,
+    LatenessLevel,
+    estimate_lateness,
+    retry_delay,
+)
 from hornbeamramp.workload import AdviceTiming, StepSpec
 from tests.model.cell import job, queue
 from tests.poolowner.builders import record
@@ -17,46 +22,46 @@
 TERMS = AdviceTiming(timedelta(milliseconds=40), timedelta(milliseconds=2), timedelta(seconds=1))
 
 
-def at(now_ms, step=0, correction=1.0, timing=None, steps=STEPS):
+def at(now_ms, step=0, duration_ratio=1.0, timing=None, steps=STEPS):
     """Returns the prospect of a step whose job was accepted at 0, with stretch 2 and 1 s on top."""
     job = record(*steps, stretch=2.0, target_ms=1000)
-    return prospect(job, Chain.of(steps), step, 0, now_ms, correction, timing)
+    return estimate_lateness(job, CriticalPath.of(steps), step, 0, now_ms, duration_ratio, timing)
 
 
 def test_chain_is_the_longest_way_through_the_steps():
-    chain = Chain.of(STEPS)
-    assert chain.left_by_step == ((1500.0, 2), (3500.0, 2), (500.0, 1))
-    assert chain.longest == (3500.0, 2)
+    critical_path = CriticalPath.of(STEPS)
+    assert critical_path.remaining_by_step == ((1500.0, 2), (3500.0, 2), (500.0, 1))
+    assert critical_path.longest == (3500.0, 2)
 
 
 @pytest.mark.parametrize(
-    ("now_ms", "outlook"),
+    ("now_ms", "level"),
     [
-        (4500, Outlook.IN_TIME),
-        (4501, Outlook.LATE),
-        (20500, Outlook.LATE),
-        (20501, Outlook.TOO_LATE),
+        (4500, LatenessLevel.ON_TIME),
+        (4501, LatenessLevel.LATE),
+        (20500, LatenessLevel.LATE),
+        (20501, LatenessLevel.TOO_LATE),
     ],
 )
-def test_job_is_late_beyond_its_time_and_too_late_beyond_three_times_that(now_ms, outlook):
-    assert at(now_ms, step=1).outlook is outlook
+def test_job_is_late_beyond_its_time_and_too_late_beyond_three_times_that(now_ms, level):
+    assert at(now_ms, step=1).level is level
 
 
 def test_later_steps_have_until_their_own_work_must_begin():
-    assert at(0, step=2).begin_by_ms == 7500
+    assert at(0, step=2).latest_start_ms == 7500
 
 
 def test_durations_are_corrected_by_what_runs_of_the_image_took():
-    assert at(0, step=1, correction=2.0).begin_by_ms == 2 * 7000 + 1000 - 7000
+    assert at(0, step=1, duration_ratio=2.0).latest_start_ms == 2 * 7000 + 1000 - 7000
 
 
 def test_a_question_for_each_step_counts_as_work():
-    assert at(0, step=1, timing=TERMS).begin_by_ms == 2 * 3700 + 1000 - 3700
+    assert at(0, step=1, timing=TERMS).latest_start_ms == 2 * 3700 + 1000 - 3700
 
 
 def test_long_running_tasks_are_never_late():
     steps = (StepSpec(1, long_running=True),)
-    assert at(10**9, steps=steps).outlook is Outlook.IN_TIME
+    assert at(10**9, steps=steps).level is LatenessLevel.ON_TIME
 
 
 @pytest.mark.parametrize(
--- a/tests/poolowner/test_pacing.py
+++ b/tests/poolowner/test_pacing.py
@@ -6,16 +6,16 @@
 from hornbeamramp.workload import StepSpec
 from tests.poolowner.builders import running, session
 
-SERVING = StepSpec(1, 1000, 100, long_running=True, response_target_ms=100)
-FILLING = StepSpec(1, 4000, 100, fills=True)
+LATENCY_SENSITIVE = StepSpec(1, 1000, 100, long_running=True, response_target_ms=100)
+BEST_EFFORT = StepSpec(1, 4000, 100, fills=True)
 
 
 def worker_with(load):
     shared = session("w0")
-    serving = running(shared, SERVING)
-    serving.load = load
-    filling = running(shared, FILLING)
-    return shared, serving, filling
+    latency_sensitive = running(shared, LATENCY_SENSITIVE)
+    latency_sensitive.load = load
+    best_effort = running(shared, BEST_EFFORT)
+    return shared, latency_sensitive, best_effort
 
 
 def paces(pacer, shared, seconds=0.0):
@@ -37,22 +37,22 @@
 
 def test_paused_tasks_are_let_go_step_by_step():
     pacer = Pacer()
-    shared, serving, _ = worker_with(load=120)
+    shared, latency_sensitive, _ = worker_with(load=120)
     assert paces(pacer, shared) == [0]
-    serving.load = 30
+    latency_sensitive.load = 30
     assert paces(pacer, shared, 1.0) == []
     assert [paces(pacer, shared, 3.0 * n) for n in (1, 2, 3, 4)] == [[25], [50], [75], [100]]
 
 
 def test_pace_without_answer_is_sent_again():
     pacer = Pacer()
-    shared, _, filling = worker_with(load=120)
+    shared, _, best_effort = worker_with(load=120)
     assert paces(pacer, shared) == [0]
-    filling.pace_percent = -1
+    best_effort.pace_percent = -1
     assert paces(pacer, shared) == [0]
 
 
 def test_worker_without_serving_tasks_runs_filling_tasks_at_full_speed():
     alone = session("w0")
-    running(alone, FILLING)
+    running(alone, BEST_EFFORT)
     assert paces(Pacer(), alone) == []
--- a/tests/poolowner/test_placer.py
+++ b/tests/poolowner/test_placer.py
@@ -26,13 +26,13 @@
     def may_ask(self, step):
         return True
 
-    def ask_first(self, step, queue, sessions):
+    def request_advice(self, step, queue, sessions):
         self.asked.append(step)
 
-    def ask_and_launch(self, step, queue, units, sessions):
+    def renew_and_launch(self, step, queue, units, sessions):
         self.held += units
 
-    def renew_ahead(self, step, queue, sessions):
+    def prefetch_tickets(self, step, queue, sessions):
         self.renewed.append(step)
 
     def launch(self, step, units):
@@ -105,15 +105,15 @@
     """Served in order of acceptance, each render behind the backlog of an outage of five seconds
     came late for another twenty (hcjs-ramp scale-2)."""
     owner = Owner([session("w0")])
-    too_late, late, in_time = (owner.submit(WHOLE, age_s=age) for age in (60.0, 20.0, 1.0))
+    too_late, late, on_time = (owner.submit(WHOLE, age_s=age) for age in (60.0, 20.0, 1.0))
     placed = []
     for _ in range(3):
         owner.placer.schedule()
-        [step] = [s for s in (too_late, late, in_time) if placed_on(s) and s not in placed]
+        [step] = [s for s in (too_late, late, on_time) if placed_on(s) and s not in placed]
         placed.append(step)
         worker = owner.session_by_worker["w0"]
         worker.release(next(iter(worker.attempt_by_key.values())))
-    assert placed == [in_time, late, too_late]
+    assert placed == [on_time, late, too_late]
 
 
 def test_what_comes_too_late_does_not_go_before_less_urgent_work_that_is_in_time():
