--- a/hornbeamramp/poolowner/__init__.py
+++ b/hornbeamramp/poolowner/__init__.py
@@ -1,4 +1,4 @@
-"""The owner of a pool: accepts its jobs, places their tasks on its workers, and records it all."""
+"""Owner of a pool: accepts jobs, places their tasks on workers and records their progress."""
 
 from hornbeamramp.poolowner.advice import Advice, AdviceSource, AdviceUnavailableError
 from hornbeamramp.poolowner.lateness import retry_delay
--- a/hornbeamramp/poolowner/advice.py
+++ b/hornbeamramp/poolowner/advice.py
@@ -1,4 +1,4 @@
-"""Advice on which workers may run a step. Grants last as long as the worker, tickets don't."""
+"""Advice on which workers may run a step. Grants last as long as the worker; tickets expire."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
@@ -18,11 +18,11 @@
     "TICKET_MARGIN",
 ]
 
-# A ticket is used only if it stays valid for the commit and the start that follow: two calls with
-# a time-out of 500 ms are rare, two of 50 ms under load usual.
+# Remaining validity that a ticket needs for a placement, to cover the commit and the start that
+# follow: under load, the two calls usually take 50 ms each and seldom time out after 500 ms.
 TICKET_MARGIN = timedelta(milliseconds=250)
-# What must be left of a ticket's life when it is used: a start takes 2 ms, and seldom 200 ms with a
-# lost packet.
+# Remaining validity that a ticket needs when the start order is sent: a start takes 2 ms, and
+# seldom 200 ms because of a lost packet.
 START_MARGIN = timedelta(milliseconds=50)
 
 
@@ -31,19 +31,19 @@
 
 
 class Advice(msgspec.Struct, frozen=True):
-    """Tickets of the workers that may run the step, and for how long they are valid."""
+    """Tickets of the workers that may run the step, and how long they are valid."""
 
     ticket_by_worker: dict[UpstreamId, str]
     validity: timedelta
 
 
 class AdviceSource(ABC):
-    """Asks the advice service, which serves one call at a time for each VM."""
+    """Client of the advice service, which serves one call at a time for each VM."""
 
     @property
     @abstractmethod
     def backlog(self) -> int:
-        """Number of questions that wait for a VM to be free."""
+        """Number of requests that wait for a free VM."""
 
     @abstractmethod
     async def ask(
@@ -54,17 +54,17 @@
         priority: int,
         deferral: timedelta,
     ) -> Advice:
-        """Returns advice on a step for the workers named. Raises `AdviceUnavailableError`.
+        """Returns advice on a step for the given workers. Raises `AdviceUnavailableError`.
 
-        Questions are sent in order of priority and age; ``deferral`` makes one count as younger.
+        Requests are sent in order of priority and time of arrival, to which ``deferral`` is added.
         """
 
 
 class Grants:
-    """What is known of one step's advice.
+    """Answers of the advice service for one step.
 
     `is_recorded`
-        Whether a successor should find in the store who may run the step.
+        Whether the grants are written to the store, so that a successor need not ask again.
     """
 
     __slots__ = (
@@ -87,7 +87,7 @@
         self.not_before = timedelta(0)
 
     def add(self, workers: Iterable[UpstreamId], advice: Advice, received_at: timedelta) -> None:
-        """Notes an answer. Tickets are valid from the answer on, however long it took."""
+        """Adds an answer. Tickets are valid from its arrival, however long the request took."""
         self.asked.update(workers)
         self.granted.difference_update(workers)
         for worker, ticket in advice.ticket_by_worker.items():
@@ -98,7 +98,7 @@
     def has_ticket(
         self, worker: UpstreamId, now: timedelta, margin: timedelta = TICKET_MARGIN
     ) -> bool:
-        """Tells whether there is a ticket of the worker that stays valid for ``margin``."""
+        """Returns whether there is a ticket of the worker that stays valid for ``margin``."""
         until = self.valid_until.get(worker)
         return until is not None and now + margin < until
 
--- a/hornbeamramp/poolowner/checks.py
+++ b/hornbeamramp/poolowner/checks.py
@@ -1,4 +1,4 @@
-"""Periodic checks of what runs: stalled tasks, paces, and workers that are draining."""
+"""Periodic checks of runs: stalled tasks, pace of best-effort tasks, and draining workers."""
 
 from typing import TYPE_CHECKING
 
@@ -20,7 +20,7 @@
 
 
 class RunChecks:
-    """Looks at all runs of a pool and corrects what no event tells."""
+    """Checks all runs of a pool for conditions that no event reports, and acts on them."""
 
     def __init__(self, owner: "PoolOwner", placer: Placer, clock: Clock) -> None:
         self._owner = owner
@@ -29,17 +29,17 @@
         self._pacer = Pacer()
 
     def run(self) -> None:
-        """Makes all checks once."""
+        """Runs all checks once."""
         self._evacuate_draining_workers()
         self._pace_best_effort_tasks()
         self._restart_stalled()
 
     def _restart_stalled(self) -> None:
-        """Stops tasks that stand still; they start again on another worker."""
+        """Stops stalled runs; their tasks start again, preferably on another worker."""
         now = self._clock.boot_time()
         for attempt in stalled_attempts(self._owner.session_by_worker.values(), now):
             _log.warning(
-                "{} run {} on {} stands still at {}%",
+                "{} run {} on {} stalled at {}%, stopping it",
                 attempt.name,
                 attempt.run,
                 attempt.session.worker,
@@ -52,11 +52,17 @@
     def _pace_best_effort_tasks(self) -> None:
         now = self._clock.boot_time()
         for attempt, percent in self._pacer.changes(self._owner.session_by_worker.values(), now):
-            _log.info("{} on {} paced to {}%", attempt.name, attempt.session.worker, percent)
+            _log.info(
+                "{} on {}: pace of best-effort run set to {}%",
+                attempt.name,
+                attempt.session.worker,
+                percent,
+            )
             self._owner.spawn(attempt.session.pace(attempt, percent))
 
     def _evacuate_draining_workers(self) -> None:
-        """Moves long-running tasks off workers that are about to end them anyway."""
+        """Stops long-running tasks on draining workers, which would end them anyway, so that they
+        start elsewhere."""
         for session in self._owner.session_by_worker.values():
             if not session.listing.draining:
                 continue
--- a/hornbeamramp/poolowner/choice.py
+++ b/hornbeamramp/poolowner/choice.py
@@ -1,4 +1,4 @@
-"""Chooses workers for a unit. Plain code over the sessions' ledgers; changes nothing."""
+"""Chooses workers for a unit. Reads the free resources of the sessions and changes nothing."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -16,7 +16,7 @@
 
 
 def could_ever_run(step: StepRun, session: WorkerSession) -> bool:
-    """Tells whether an empty worker could run a task of the step."""
+    """Returns whether an empty worker could run a task of the step."""
     capacity = session.listing.capacity
     size = step.size
     label = step.spec.required_label
@@ -29,7 +29,7 @@
 
 
 def could_all_run(unit: Unit, sessions: Iterable[WorkerSession]) -> bool:
-    """Tells whether these workers could run all tasks of the unit at once if they were empty."""
+    """Returns whether these workers could run all tasks of the unit at once if they were empty."""
     step = unit.step
     usable = [session for session in sessions if could_ever_run(step, session)]
     if step.spec.same_rack and step.spec.gang:
@@ -41,7 +41,7 @@
 
 
 def _max_tasks(step: StepRun, session: WorkerSession) -> int:
-    """Returns how many tasks of the step an empty worker holds."""
+    """Returns how many tasks of the step fit on the worker when it is empty."""
     capacity, size = session.listing.capacity, step.size
     pairs = (
         (capacity.processors_milli, size.processors_milli),
@@ -60,7 +60,8 @@
 ) -> list[WorkerSession] | None:
     """Returns a worker for each task of the unit, or ``None`` if they don't all fit.
 
-    ``assigned_by_worker`` holds how many tasks of the step each worker has already.
+    `assigned_by_worker`
+        Number of the step's tasks already assigned to each worker.
     """
     step = unit.step
     usable = [session for session in sessions if could_ever_run(step, session)]
@@ -82,7 +83,7 @@
 ) -> list[WorkerSession] | None:
     step = unit.step
     size, limit = step.size, step.spec.max_per_worker
-    free_by_worker: dict[str, FreeResources] = {
+    available_by_worker: dict[str, FreeResources] = {
         session.worker: session.free() for session in sessions
     }
     count_by_worker = Counter(assigned_by_worker)
@@ -91,53 +92,57 @@
         best: WorkerSession | None = None
         best_score: tuple[float, ...] = ()
         for session in sessions:
-            free = free_by_worker[session.worker]
+            available = available_by_worker[session.worker]
             if (
-                size.processors_milli > free[0]
-                or size.memory_mib > free[1]
-                or size.accelerators > free[2]
+                size.processors_milli > available[0]
+                or size.memory_mib > available[1]
+                or size.accelerators > available[2]
             ):
                 continue
             if limit and count_by_worker[session.worker] >= limit:
                 continue
-            score = _score(unit, session, free, speeds, count_by_worker[session.worker])
+            score = _score(unit, session, available, speeds, count_by_worker[session.worker])
             if best is None or score > best_score:
                 best, best_score = session, score
         if best is None:
             return None
         chosen.append(best)
-        free = free_by_worker[best.worker]
-        free_by_worker[best.worker] = (
-            free[0] - size.processors_milli,
-            free[1] - size.memory_mib,
-            free[2] - size.accelerators,
+        available = available_by_worker[best.worker]
+        available_by_worker[best.worker] = (
+            available[0] - size.processors_milli,
+            available[1] - size.memory_mib,
+            available[2] - size.accelerators,
         )
         count_by_worker[best.worker] += 1
     return chosen
 
 
 def _score(
-    unit: Unit, session: WorkerSession, free: FreeResources, speeds: WorkerSpeeds, step_tasks: int
+    unit: Unit,
+    session: WorkerSession,
+    available: FreeResources,
+    speeds: WorkerSpeeds,
+    step_tasks: int,
 ) -> tuple[float, ...]:
-    """Returns the worth of a worker for one task; higher tuples come first."""
+    """Returns the score of a worker for one task; the highest tuple wins."""
     step = unit.step
     worker = UpstreamId(session.worker)
     speed = round(speeds.speed(worker), 1)
     is_trusted = worker not in unit.avoided_workers and not speeds.is_suspect(worker)
     is_data_local = not step.spec.data_rack or step.spec.data_rack in session.listing.labels
     if step.spec.fills:
-        # Away from those that they would disturb.
+        # Best-effort tasks go where they disturb the fewest latency-sensitive tasks.
         latency_sensitive = sum(
             is_latency_sensitive(attempt) for attempt in session.attempt_by_key.values()
         )
-        return (is_trusted, is_data_local, -latency_sensitive, free[1])
+        return (is_trusted, is_data_local, -latency_sensitive, available[1])
     if step.spec.long_running:
-        # Spread, so that the loss of one worker takes few of the step's tasks.
-        return (is_trusted, is_data_local, -step_tasks, -speed, free[0])
+        # Spread, so that the loss of one worker ends few of the step's tasks.
+        return (is_trusted, is_data_local, -step_tasks, -speed, available[0])
     if step.size.accelerators:
-        # Packed, so that whole workers stay free for tasks that take all accelerators.
-        return (is_trusted, is_data_local, -free[2], speed, -free[0])
+        # Packed, so that whole workers stay free for tasks that need all accelerators.
+        return (is_trusted, is_data_local, -available[2], speed, -available[0])
     if step.job.record.priority > URGENT:
-        # Slow workers first: the fast ones are left to those that have the least time.
-        return (is_trusted, is_data_local, -speed, -free[0])
-    return (is_trusted, is_data_local, speed, -free[0])
+        # Slow workers first, so that the fast ones stay free for urgent tasks.
+        return (is_trusted, is_data_local, -speed, -available[0])
+    return (is_trusted, is_data_local, speed, -available[0])
--- a/hornbeamramp/poolowner/health.py
+++ b/hornbeamramp/poolowner/health.py
@@ -1,7 +1,7 @@
-"""Finds workers that fail all they start or on which tasks stand still, from what ends and when.
+"""Quarantines workers on which tasks of several jobs fail in a row or a task stalls.
 
-Tasks that fail by themselves fail on every worker, so only failures of several jobs in a row count
-against a worker. A worker that is set aside is tried again after a while.
+Tasks with a fault of their own fail on every worker, so only failures of several jobs in a row
+count against a worker. A quarantined worker is used again after a limited time.
 """
 
 from collections.abc import Iterable
@@ -12,19 +12,20 @@
 
 __all__ = ["WorkerHealth", "stalled_attempts"]
 
-# Failures of this many jobs in a row, without a success between, set a worker aside. One task in
-# twenty fails by itself, so three in a row are a matter of one in some thousand.
+# Number of jobs whose tasks have to fail on a worker, without a success in between, before it is
+# quarantined. One task in twenty fails for reasons of its own, so three in a row happen by chance
+# about once in several thousand.
 QUARANTINE_FAILED_JOBS = 3
-# Time for which a worker is set aside at first and at most; doubled while it goes on failing.
+# First and longest duration of a quarantine, which doubles while the worker goes on failing.
 MIN_QUARANTINE = timedelta(seconds=2)
 MAX_QUARANTINE = timedelta(seconds=8)
-# A task without progress for this long stands still. Lists come every two seconds at least, and a
-# task ten times longer than usual (about a minute) still shows a percent a second.
+# A task without progress for this long has stalled. Lists arrive at least every 2 s, and even a
+# task ten times longer than usual (about a minute) gains at least 1% a second.
 STALL_TIMEOUT = timedelta(seconds=3)
 
 
 class WorkerHealth:
-    """What recent ends say of each worker."""
+    """Recent failures and quarantines of workers."""
 
     def __init__(self) -> None:
         self._failed_jobs_by_worker: dict[UpstreamId, set[JobId]] = {}
@@ -32,7 +33,7 @@
         self._quarantined_until: dict[UpstreamId, timedelta] = {}
 
     def record_end(self, attempt: Attempt, how: HowEnded, now: timedelta) -> None:
-        """Notes how a run ended; only successes and failures say something of the worker."""
+        """Records how a run ended. Only successes and failures count for or against the worker."""
         worker = UpstreamId(attempt.session.worker)
         if how is HowEnded.DONE:
             self._failed_jobs_by_worker.pop(worker, None)
@@ -44,7 +45,7 @@
                 self._quarantine(worker, now)
 
     def record_stall(self, attempt: Attempt, now: timedelta) -> None:
-        """Notes a task that stands still."""
+        """Quarantines the worker of a stalled run."""
         self._quarantine(UpstreamId(attempt.session.worker), now)
 
     def _quarantine(self, worker: UpstreamId, now: timedelta) -> None:
@@ -55,12 +56,12 @@
         self._next_quarantine_by_worker[worker] = min(2 * duration, MAX_QUARANTINE)
 
     def is_quarantined(self, worker: UpstreamId, now: timedelta) -> bool:
-        """Tells whether a worker gets no new tasks now."""
+        """Returns whether a worker must not get new tasks now."""
         until = self._quarantined_until.get(worker)
         return until is not None and now < until
 
     def forget(self, worker: UpstreamId) -> None:
-        """Drops what is known of a worker that has left."""
+        """Drops the failures and the quarantine of a worker that has left."""
         for by_worker in (
             self._failed_jobs_by_worker,
             self._next_quarantine_by_worker,
@@ -70,7 +71,10 @@
 
 
 def stalled_attempts(sessions: Iterable[WorkerSession], now: timedelta) -> list[Attempt]:
-    """Returns the runs that have made no progress for too long, on workers that answer."""
+    """Returns the runs on reachable workers that have made no progress for `STALL_TIMEOUT`.
+
+    Long-running and best-effort tasks are left out.
+    """
     return [
         attempt
         for session in sessions
--- a/hornbeamramp/poolowner/jobs.py
+++ b/hornbeamramp/poolowner/jobs.py
@@ -15,7 +15,7 @@
 
 
 class Task:
-    """One task. ``attempt`` is its run that counts in a worker's ledger, if there is one."""
+    """One task. ``attempt`` is its run that holds capacity on a worker, if there is one."""
 
     __slots__ = ("attempt", "index", "is_done", "name", "unit")
 
@@ -28,12 +28,12 @@
 
 
 class Unit:
-    """What is placed and started together: one task, or all tasks of a gang.
+    """Tasks that are placed and started together: one task, or all tasks of a gang.
 
     `run`
         Number of the latest start, shared by a gang's members.
     `avoided_workers`
-        Workers on which a run ended badly.
+        Workers on which a run of the unit failed, stalled, lapsed or was lost; chosen last.
     """
 
     __slots__ = ("avoided_workers", "checkpoint", "failed_run", "failures", "run", "step", "tasks")
@@ -66,7 +66,7 @@
         self.job = job
         self.key = key
         self.spec = spec
-        # Tasks that fill use what others leave over, so their processors are not counted.
+        # Best-effort tasks use idle processors, so their own are not counted.
         processors = 0 if spec.fills else spec.processors_milli
         self.size = Resources(processors, spec.memory_mib, spec.accelerators, 0, 0)
         if spec.gang:
@@ -76,9 +76,9 @@
         self.waiting: list[Unit] = []
         self.is_open = False
         self.grants = Grants()
-        # When runs were last looked for that could be stopped for this step.
+        # Boot time of the last search for runs to preempt for this step.
         self.preemption_checked_at: timedelta | None = None
-        # As of the latest pass of the placer.
+        # As of the latest scheduling pass.
         self.lateness = Lateness(LatenessLevel.ON_TIME, 0.0)
 
     @property
@@ -96,17 +96,18 @@
 
 
 class Job:
-    """A job. Steps of an occurrence exist from its due time on."""
+    """A job. The steps of an occurrence are created when it becomes due."""
 
     def __init__(self, record: JobRecord) -> None:
         self.record = record
         self.critical_path = CriticalPath.of(record.spec.steps)
         self.phase = JobPhase.QUEUED
-        # The phase that is in the store. Callers are shown no other, as only that one lasts.
+        # The phase that is in the store. Callers see only this one, as it survives a failover.
         self.recorded_phase = JobPhase.QUEUED
         self.ended_ms = 0
         self.steps_by_occurrence: dict[int, list[StepRun]] = {}
-        # A job that ended before this owner's time has no steps; its record is kept as it is.
+        # Set for a job that ended under a former owner: it has no steps, and its record is kept
+        # unchanged.
         self.ended_progress: JobProgress | None = None
 
     @property
@@ -131,7 +132,7 @@
             ]
 
     def ready_steps(self) -> list[StepRun]:
-        """Opens the steps whose predecessors are done, and returns them with all units waiting."""
+        """Opens steps whose predecessors are done, queues their units, and returns the steps."""
         ready = []
         for steps in self.steps_by_occurrence.values():
             for step in steps:
@@ -144,7 +145,7 @@
         return ready
 
     def is_complete(self) -> bool:
-        """Tells whether every task of every occurrence is done."""
+        """Returns whether every task of every occurrence is done."""
         return len(self.steps_by_occurrence) == self.record.spec.occurrences and all(
             step.is_done for step in self.steps()
         )
@@ -154,7 +155,7 @@
         self.ended_ms = now_ms
 
     def progress(self) -> JobProgress:
-        """Returns the record of what has happened so far."""
+        """Returns the progress record for the current state."""
         if self.ended_progress is not None:
             return self.ended_progress
         if self.is_ended:
--- a/hornbeamramp/poolowner/journal.py
+++ b/hornbeamramp/poolowner/journal.py
@@ -1,4 +1,4 @@
-"""Group commits of an owner: one transaction at a time, all that came meanwhile in the next."""
+"""Group commit of job records: one transaction at a time, with all changes since the last one."""
 
 import asyncio
 from collections.abc import Callable
@@ -24,16 +24,16 @@
 
 __all__ = ["Journal"]
 
-# Pause before each commit. Within it the advice for an urgent job arrives (15 ms), so that a job is
-# accepted and placed by one commit. Each store call has a price, and all VMs share the store's
-# write rate; 20 ms are a fiftieth of the shortest job's time.
+# Delay before each commit, in which changes are collected. The advice for an urgent job arrives
+# within it (15 ms), so that one commit both accepts and places the job. Each store call has a cost,
+# and all VMs share the store's write rate; 20 ms are a fiftieth of the shortest job's duration.
 GROUP_COMMIT_DELAY = timedelta(milliseconds=20)
 
 _log = logbook.Logger("journal")
 
 
 class Journal:
-    """Writes the records of jobs in the order in which they were touched."""
+    """Writes the records of jobs in the order in which they were marked dirty."""
 
     def __init__(
         self,
@@ -58,16 +58,16 @@
         self._claim_error: ClaimLostError | None = None
 
     def mark_dirty(self, job: Job) -> None:
-        """Has a job's progress written with the next commit that has room."""
+        """Schedules a job's progress for the next commit with free entries."""
         self._last_sequence += 1
         self._sequence_by_job.setdefault(job, self._last_sequence)
         self._wake.set()
 
     def insert(self, job: Job) -> None:
-        """Has a job's record written, no later than its progress. Raises `ClaimLostError`.
+        """Schedules a job's record for a commit, no later than its progress.
 
-        The job is handed to ``on_insert`` when its record is in the store. If there is a record of
-        its id already, the job is closed.
+        ``on_insert`` is called with the job when its record is in the store. If the store already
+        has a record of this id, the job is closed. Raises `ClaimLostError`.
         """
         if self._claim_error is not None:
             raise self._claim_error
@@ -76,13 +76,12 @@
         self._wake.set()
 
     async def inserted(self, job_id: JobId) -> None:
-        """Returns once a job's record that was to be written is in the store. Raises
-        `ClaimLostError`."""
+        """Returns once the record of an inserted job is in the store. Raises `ClaimLostError`."""
         _, future = self._insert_by_id[job_id]
         await asyncio.shield(future)
 
     def is_inserting(self, job_id: JobId) -> bool:
-        """Tells whether a job's record is about to be written or may have been."""
+        """Returns whether a job's record waits for its commit or may be committed already."""
         return job_id in self._insert_by_id
 
     def purge(self, job_id: JobId) -> None:
@@ -91,7 +90,7 @@
         self._wake.set()
 
     async def recorded(self) -> None:
-        """Returns once all touches so far are in the store. Raises `ClaimLostError`."""
+        """Returns once all changes marked so far are in the store. Raises `ClaimLostError`."""
         if self._claim_error is not None:
             raise self._claim_error
         if self._sequence_by_job or self._in_flight:
@@ -139,7 +138,8 @@
                 puts, deletes, [job_key(self._pool, job_id) for job_id in inserts]
             )
         except KeysExistError as conflict:
-            # Earlier touches stay first, so that no waiter is passed over.
+            # Sorted by sequence number, so that earlier changes are committed first and no waiter
+            # starves.
             self._sequence_by_job = {**self._sequence_by_job, **dirty}
             self._sequence_by_job = dict(
                 sorted(self._sequence_by_job.items(), key=lambda item: item[1])
@@ -167,9 +167,9 @@
     ) -> None:
         for job_id, (job, future) in inserts.items():
             if job_key(self._pool, job_id) in conflict.item_by_key:
-                _log.info("{}: a job of this id is recorded already", job_id)
+                _log.info("{}: duplicate insert dropped, the job is already recorded", job_id)
                 del self._insert_by_id[job_id]
-                # Capacity reserved ahead of the record is released, and no progress is written.
+                # Releases capacity reserved before the record was written, and writes no progress.
                 job.close(JobPhase.CANCELLED, 0)
                 self._sequence_by_job.pop(job, None)
                 if not future.done():
--- a/hornbeamramp/poolowner/lateness.py
+++ b/hornbeamramp/poolowner/lateness.py
@@ -1,8 +1,8 @@
-"""What a job can still be for its caller: in time, late, or too late to be of use.
+"""Estimates whether a job can finish on time, late, or too late to be useful to its caller.
 
-A job is in time within its queue's stretch times its longest chain of work, plus the queue's
-target. Durations are the submitter's estimates, corrected by what runs of the same image took.
-Long-running tasks are of use from whenever they begin.
+A job is on time if it ends within its queue's stretch factor times its critical path, plus the
+queue's target. Durations are the submitter's estimates, corrected by the measured durations of runs
+of the same image. Long-running tasks are never late: they are useful whenever they start.
 """
 
 from datetime import timedelta
@@ -18,23 +18,23 @@
 
 __all__ = ["CriticalPath", "Lateness", "LatenessLevel", "estimate_lateness", "retry_delay"]
 
-# Beyond this many times the time in which a job counts as in time, its answer is worth nothing to
-# its caller (the users' rule on what a job earns).
+# Multiple of the on-time limit beyond which a job's result is worth nothing to its caller, by the
+# users' rule on what a job earns.
 TOO_LATE_FACTOR = 3.0
-# Workers named in the question that each step's time allows for (the users' rule).
+# Workers in the one advice request that the users' rule includes in the time of each step.
 WORKERS_PER_ADVICE_REQUEST = 30
 
 
-# Part of the time in which a job counts as in time after which a refused caller should return: late
-# enough for an outage to have ended by one of its tries, and early enough for the job to matter.
+# Share of the on-time limit after which a refused caller should retry: late enough that an outage
+# is over at one of its attempts, and early enough for the job still to be useful.
 RETRY_SHARE = 0.25
-# Outages of the store last some five seconds, and callers try a few times only.
+# Outages of the store last about five seconds, and callers retry only a few times.
 MIN_RETRY_DELAY = timedelta(seconds=2)
 MAX_RETRY_DELAY = timedelta(seconds=5)
 
 
 class LatenessLevel(IntEnum):
-    """What can still be reached, the best first."""
+    """Best result that a job can still reach, in ascending order of lateness."""
 
     ON_TIME = 0
     LATE = 1
@@ -42,21 +42,21 @@
 
 
 class Lateness(msgspec.Struct, frozen=True):
-    """A step's outlook, and the latest Unix time in ms at which it can begin to keep it."""
+    """Level that a step's job can still reach, and the latest start that keeps it (Unix ms)."""
 
     level: LatenessLevel
     latest_start_ms: float
 
 
 class PathLength(NamedTuple):
-    """Steps that follow one another: their declared durations in ms, and how many they are."""
+    """Total estimated duration in ms and number of the steps on a path through a job."""
 
     work_ms: float
     steps: int
 
 
 class CriticalPath(msgspec.Struct, frozen=True, dict=True):
-    """The longest way through a job's steps; ``remaining_by_step`` begins with each of them."""
+    """Critical path of a job; ``remaining_by_step`` holds the longest path from each step on."""
 
     remaining_by_step: tuple[PathLength, ...]
 
@@ -66,7 +66,7 @@
 
     @classmethod
     def of(cls, steps: tuple[StepSpec, ...]) -> "CriticalPath":
-        """Returns the chain of a job's steps; each comes after those it names."""
+        """Returns the critical path of a job's steps; each step follows those in its ``after``."""
         remaining = [PathLength(float(step.estimate_ms), 1) for step in steps]
         for number in range(len(steps) - 1, -1, -1):
             successor = remaining[number]
@@ -78,7 +78,7 @@
 
 
 def retry_delay(queue: Queue, spec: JobSpec) -> timedelta:
-    """Returns when a caller should return who was refused for want of the store."""
+    """Returns the delay after which a caller refused during a store outage should retry."""
     if any(step.long_running for step in spec.steps):
         return MIN_RETRY_DELAY
     work = timedelta(milliseconds=CriticalPath.of(spec.steps).longest.work_ms)
@@ -95,12 +95,12 @@
     duration_ratio: float,
     timing: AdviceTiming | None,
 ) -> Lateness:
-    """Returns what a step's job can still reach if the step begins now.
+    """Returns the lateness that a step's job can still reach if the step starts now.
 
     `since_ms`
-        Unix time from which the job's time counts.
+        Unix time in ms at which the job was accepted or, if later, became due.
     `duration_ratio`
-        Duration of runs over their declared duration.
+        Measured duration of runs divided by their estimate.
     """
     if record.spec.steps[step].long_running:
         return Lateness(LatenessLevel.ON_TIME, since_ms)
--- a/hornbeamramp/poolowner/launch.py
+++ b/hornbeamramp/poolowner/launch.py
@@ -1,4 +1,4 @@
-"""From a choice of workers to running tasks: advice, the record of the placement, the orders."""
+"""Launches placed units: requests advice, records the placement and sends the start orders."""
 
 import asyncio
 from datetime import timedelta
@@ -29,26 +29,25 @@
 
 __all__ = ["Launcher"]
 
-# Most workers named in one question: the platform's bound on a job's time counts one question
-# about 30 workers for each step.
+# The platform's time limit for a job allows for one advice request about 30 workers per step.
 MAX_WORKERS_PER_ADVICE_REQUEST = 30
-# Questions from this cost on are not asked again by a successor: their answers are recorded. For
-# cheaper ones a write costs more than a question.
+# Answers to advice requests that cost at least this are recorded, so that a successor does not
+# repeat them. For cheaper ones, the write costs more than another request.
 MIN_RECORDED_COST = timedelta(milliseconds=50)
-# By how long questions count as younger if no free capacity waits for their answer, and if it comes
-# too late for the job's caller. Costly questions take about half a second.
+# Added to the arrival time by which advice requests are ordered, if no free capacity depends on the
+# answer, and if the job is too late for its caller. Costly requests take about half a second.
 PREFETCH_DEFERRAL = timedelta(milliseconds=500)
 TOO_LATE_DEFERRAL = timedelta(seconds=2)
-# Pause after a question without an answer.
+# Delay after an advice request that got no answer.
 ADVICE_RETRY_DELAY = timedelta(milliseconds=200)
-# Pause before a refused start is tried again, so that the worker's next list has come.
+# Delay before a refused start is retried, so that the worker's next list has arrived.
 START_RETRY_DELAY = timedelta(milliseconds=150)
 
 _log = logbook.Logger("launch")
 
 
 class Launcher:
-    """Starts placed units. A unit that can't be started goes back to its step's queue."""
+    """Starts placed units. A unit that can't be started returns to its step's queue."""
 
     def __init__(
         self, owner: "PoolOwner", advice: AdviceSource, clock: Clock, journal: Journal
@@ -62,16 +61,22 @@
         self._idle.set()
 
     async def wait_idle(self) -> None:
-        """Returns once no order waits for its answer."""
+        """Returns once no launch is in flight."""
         await self._idle.wait()
 
     def may_ask(self, step: StepRun) -> bool:
-        """Tells whether a question about the step would be sent soon. The less urgent wait here
-        rather than behind others, so that they are asked with the room there is then."""
+        """Returns whether an advice request for the step would be sent soon.
+
+        While there is a backlog, only urgent steps may ask. Others wait in the placer, so that
+        their requests are made for the capacity that is free by then.
+        """
         return self._advice.backlog < 1 or step.job.record.priority == URGENT
 
     def request_advice(self, step: StepRun, queue: Queue, sessions: list[WorkerSession]) -> None:
-        """Asks which of these workers may run the step, those with most room first."""
+        """Requests advice on which of these workers may run the step.
+
+        Workers on which it fits now come first, then those with the most free processors.
+        """
         candidates = [session for session in sessions if could_ever_run(step, session)]
         candidates.sort(key=lambda s: (not s.fits(step.size), -s.free()[0]))
         step.grants.is_pending = True
@@ -80,14 +85,15 @@
     def renew_and_launch(
         self, step: StepRun, queue: Queue, units: list[Unit], sessions: list[WorkerSession]
     ) -> None:
-        """Renews the tickets of workers, then starts the units that hold room on them."""
+        """Renews the tickets of workers, then launches the units with capacity reserved on them."""
         needed = {attempt.session.worker for unit in units for attempt in unit.attempts()}
         sessions = sorted(sessions, key=lambda s: s.worker not in needed)
         step.grants.is_pending = True
         self._owner.spawn(self._ask_and_launch(step, queue, sessions, units))
 
     def prefetch_tickets(self, step: StepRun, queue: Queue, sessions: list[WorkerSession]) -> None:
-        """Renews the tickets of a step without room, if they end before an answer would come."""
+        """Renews the tickets of a step that waits for capacity, if all of them expire before an
+        answer would arrive."""
         assert queue.advice is not None
         cost = queue.advice.base + len(sessions) * queue.advice.per_worker
         answer_expected_at = self._clock.boot_time() + cost
@@ -131,7 +137,7 @@
             advice = await self._advice.ask(step.key, worker_ids, queue.advice, priority, deferral)
         except AdviceUnavailableError as error:
             step.grants.not_before = self._clock.boot_time() + ADVICE_RETRY_DELAY
-            _log.info("{}: no advice: {}", step.key, error)
+            _log.info("{}: advice request failed: {}", step.key, error)
             return
         received_at = self._clock.boot_time()
         asked_before = len(step.grants.asked)
@@ -143,11 +149,15 @@
         instruments.advice_time.record(elapsed.total_seconds())
         granted = len(advice.ticket_by_worker)
         _log.info(
-            "{}: {} of {} workers granted after {}", step.key, granted, len(worker_ids), elapsed
+            "{}: advice service granted {} of {} workers after {}",
+            step.key,
+            granted,
+            len(worker_ids),
+            elapsed,
         )
 
     async def launch(self, step: StepRun, units: list[Unit]) -> None:
-        """Starts units whose tasks have reserved room."""
+        """Records the placement of units with reserved capacity, then starts them."""
         self._launches_in_flight += 1
         self._idle.clear()
         try:
@@ -167,15 +177,18 @@
                 units = [unit for unit in units if unit not in expiring]
             await self._start_units(units)
         except ClaimLostError as error:
-            _log.info("{}: placement dropped: {}", step.key, error)
+            _log.info("{}: placement discarded, ownership claim lost: {}", step.key, error)
         finally:
             self._launches_in_flight -= 1
             if not self._launches_in_flight:
                 self._idle.set()
 
     async def _renew_and_start(self, step: StepRun, queue: Queue, units: list[Unit]) -> None:
-        """Starts recorded units whose tickets have run out while they were recorded, as they do
-        with a slow store. Their room stays taken, so no second commit is needed."""
+        """Starts units whose tickets expired while the placement was recorded.
+
+        This happens with a slow store. The units keep their reserved capacity, so no second commit
+        is needed.
+        """
         workers = {attempt.session.worker for unit in units for attempt in unit.attempts()}
         worker_ids = [UpstreamId(worker) for worker in sorted(workers)]
         try:
@@ -191,7 +204,7 @@
         await asyncio.gather(*(self._start_unit(unit) for unit in units))
 
     def _requeue(self, unit: Unit) -> None:
-        """Gives reserved room back; the run number stays used up."""
+        """Releases reserved capacity and queues the unit again; its run number is not reused."""
         for task in unit.tasks:
             if task.attempt is not None and task.attempt.phase is AttemptPhase.RESERVED:
                 task.attempt.session.release(task.attempt)
@@ -208,7 +221,7 @@
             return
         for attempt, reply in zip(attempts, replies, strict=True):
             if reply is None:
-                # Settles the order: it is either carried out and stopped, or never carried out.
+                # The outcome is unknown. A stop ends the run, or prevents a later start.
                 if attempt.task.attempt is attempt:
                     attempt.session.stop(attempt)
             elif reply is not StartReply.STARTED and attempt.task.attempt is attempt:
@@ -244,7 +257,11 @@
                 session.stop(attempt)
         else:
             _log.info(
-                "start of {} run {} on {}: {}", attempt.name, attempt.run, session.worker, reply
+                "start of {} run {} on {} not confirmed, reply: {}",
+                attempt.name,
+                attempt.run,
+                session.worker,
+                reply,
             )
         if reply is StartReply.TICKET_INVALID:
             step.grants.drop_ticket(UpstreamId(session.worker))
@@ -252,7 +269,7 @@
 
 
 def _deferral(step: StepRun, has_capacity: bool) -> timedelta:
-    """Returns by how long a question counts as younger."""
+    """Returns the time to add to the arrival time by which an advice request is ordered."""
     if step.lateness.level is LatenessLevel.TOO_LATE:
         return TOO_LATE_DEFERRAL
     return timedelta(0) if has_capacity else PREFETCH_DEFERRAL
--- a/hornbeamramp/poolowner/lifecycle.py
+++ b/hornbeamramp/poolowner/lifecycle.py
@@ -1,4 +1,4 @@
-"""From an opened step to a job's end: which steps are open, and what the end of a run means."""
+"""State transitions of jobs: opening of steps, ends of runs, retries and the end of the job."""
 
 from typing import TYPE_CHECKING
 
@@ -21,7 +21,7 @@
 
 
 class JobLifecycle:
-    """Moves the jobs of a pool on. Each change is touched in the journal, which records it."""
+    """Applies state changes to the jobs of a pool and marks them for recording in the journal."""
 
     def __init__(self, owner: "PoolOwner", placer: Placer, journal: Journal) -> None:
         self._owner = owner
@@ -29,7 +29,7 @@
         self._journal = journal
 
     def open_due(self, job: Job) -> None:
-        """Opens the occurrences that are due, and the steps whose predecessors are done."""
+        """Opens occurrences that are due, and steps whose predecessors are done."""
         if job.is_ended:
             return
         spec = job.record.spec
@@ -45,7 +45,7 @@
             self._owner.wake()
 
     def mark_started(self, job: Job) -> None:
-        """Notes that a task of the job has begun."""
+        """Marks a queued job as running, as one of its tasks has started."""
         if job.phase is JobPhase.QUEUED:
             job.phase = JobPhase.RUNNING
             self._journal.mark_dirty(job)
@@ -53,7 +53,7 @@
             instruments.first_start_time.record(wait_s, {"queue": job.record.queue})
 
     def apply_end(self, attempt: Attempt, how: HowEnded, checkpoint: str) -> None:
-        """Applies the end of a run."""
+        """Applies the end of a run: completes or requeues its unit, and ends the job if due."""
         task: Task = attempt.task
         unit = task.unit
         job = unit.step.job
@@ -66,7 +66,7 @@
         if checkpoint:
             unit.checkpoint = checkpoint
         if how is HowEnded.DONE and not unit.step.spec.long_running:
-            # One member's end stands for the whole gang.
+            # All members of a gang end together, so the end of one completes all.
             for member in unit.tasks:
                 member.is_done = True
         elif how is HowEnded.FAILED:
@@ -92,7 +92,8 @@
             self._open_ready(job)
 
     def retry(self, unit: Unit) -> None:
-        """Queues a unit again once none of its runs is left; a broken gang is stopped first."""
+        """Queues a unit again once it has no runs left; the remaining runs of a broken gang are
+        stopped first."""
         job = unit.step.job
         if job.is_ended or unit.is_done:
             return
@@ -112,7 +113,7 @@
         return job.record.max_attempts if queue is None else queue.max_attempts
 
     def finish(self, job: Job, phase: JobPhase) -> None:
-        """Ends a job. Its runs are stopped and leave the ledger as workers list their ends."""
+        """Ends a job and stops its runs, which hold capacity until workers report their ends."""
         job.close(phase, self._owner.now_ms())
         self._journal.mark_dirty(job)
         elapsed_ms = job.ended_ms - job.record.accepted_ms
@@ -123,7 +124,7 @@
 
 
 def _count_failure(unit: Unit, attempt: Attempt) -> None:
-    """Counts a failure, once for all members of a gang."""
+    """Counts a failed run, once for all members of a gang."""
     unit.avoided_workers.add(UpstreamId(attempt.session.worker))
     if unit.failed_run == attempt.run:
         return
--- a/hornbeamramp/poolowner/owner.py
+++ b/hornbeamramp/poolowner/owner.py
@@ -1,8 +1,9 @@
-"""Owner of a pool. Accepts jobs, decides which task starts where, and makes each end final.
+"""Owner of a pool: accepts jobs, places their tasks on workers and records the ends of runs.
 
-The way of a job: `PoolOwner.accept` records it; `Placer.schedule` chooses workers once a step's
-predecessors are done; `Launcher.launch` records the placement and orders the start;
-`JobLifecycle.apply_end` applies what the worker lists, and `JobLifecycle.finish` ends the job.
+Life cycle of a job: `PoolOwner.accept` records it; `Placer.schedule` chooses workers once a step's
+predecessors are done; `Launcher.launch` records the placement and sends the start order;
+`JobLifecycle.apply_end` applies the ends of runs that workers report, and `JobLifecycle.finish`
+ends the job.
 """
 
 import asyncio
@@ -47,39 +48,44 @@
 
 __all__ = ["OwnerContext", "PoolOwner", "Refusal"]
 
-# Time for which an owner goes on extending leases after its claim's last proof. With the leases of
-# 6 s themselves, store outages of up to ten seconds cost no running task.
+# Time for which an owner goes on extending worker leases after its claim was last known to be
+# valid. Added to the 6 s leases, it lets running tasks survive store outages of up to 10 s.
 LEASE_EXTENSION_GRACE = timedelta(seconds=3)
-# Longest lease that a former owner can have given to a worker this owner doesn't reach: its
-# extension, the lease of 6 s on a clock that is 2% slow, and a second for calls on their way.
+# Upper bound on the lease that a former owner can have given to a worker this owner can't reach:
+# the grace period, the lease of 6 s on a clock that is 2% slow, and a second for calls in flight.
 MAX_FORMER_OWNER_LEASE = LEASE_EXTENSION_GRACE + timedelta(seconds=7.2)
-# Period of the checks that no event triggers: due times, lapsed tickets, retention.
+# Interval of the checks that no event triggers: due occurrences, expired tickets, retention and
+# stalled runs.
 CHECK_INTERVAL = timedelta(milliseconds=200)
-# Least time between two passes of the placer. Ends and jobs come in groups, with the answers of
-# hold calls and commits.
+# Minimum time between two scheduling passes. Ends and new jobs arrive in groups, with the replies
+# of hold calls and commits, and one pass handles the whole group.
 MIN_SCHEDULING_INTERVAL = timedelta(milliseconds=2)
-# A job whose commit waits for longer than this is refused at once: the store doesn't answer.
+# New jobs are refused at once when commits have been failing for longer than this.
 MAX_STORE_OUTAGE = timedelta(milliseconds=600)
-# Kept beyond the time for which callers may ask for the state of an ended job.
+# Added to the time for which callers may query the state of an ended job.
 RETENTION_MARGIN = timedelta(seconds=30)
 
 _log = logbook.Logger("owner")
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why a job was refused; it has not run and never will. ``retry_after`` is for its caller."""
+    """Why a job was refused; none of its tasks has run or will run.
+
+    `retry_after`
+        Delay after which the caller should submit the job again.
+    """
 
     reason: str
     retry_after: timedelta
 
 
 class OwnerContext(msgspec.Struct, frozen=True):
-    """What an owner is given by its process.
+    """Dependencies and settings that the process passes to its pool owners.
 
     `job_retention`
-        Time for which the state of an ended job may be asked for.
+        Time for which callers may query the state of an ended job.
     `longest_lease`
-        Longest lease that a worker gives its runs.
+        Longest lease that a worker grants to its runs.
     """
 
     store: StateStore
@@ -91,14 +97,14 @@
 
 
 class PoolOwner:
-    """Decides for one pool while its claim holds.
+    """Schedules the jobs of one pool while it holds the pool's claim.
 
     `pool`
         The pool.
     `claim`
         An acquired claim.
     `claim_valid_until`
-        Gives the boot time until which the claim certainly holds.
+        Returns the boot time until which the claim is guaranteed to be valid.
     """
 
     def __init__(
@@ -131,13 +137,15 @@
         self.is_ready = False
         self.is_lost = asyncio.Event()
 
-    # Life
+    # Start and shutdown
 
     async def start(
         self, load_listings: Callable[[], Awaitable[dict[UpstreamId, WorkerListing]]]
     ) -> None:
-        """Reads the records, fences the workers and begins to place. Raises
-        `StoreUnavailableError` if the store can't be read."""
+        """Reads the records, opens sessions that fence the workers, and starts scheduling.
+
+        Raises `StoreUnavailableError` if the store can't be read.
+        """
         records, listings = await asyncio.gather(read_jobs(self._store, self.pool), load_listings())
         for record, progress in records:
             job = Job(record)
@@ -149,7 +157,7 @@
         self.is_ready = True
         instruments.takeovers.add(1, {"pool": self.pool})
         _log.info(
-            "{}: owner with token {}, {} jobs recorded, {} workers listed",
+            "{}: took ownership with fencing token {}: {} jobs recorded, {} workers listed",
             self.pool,
             self.token,
             len(self.job_by_id),
@@ -173,13 +181,13 @@
         self.lifecycle.open_due(job)
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
-        """Runs a coroutine until the pool is given up."""
+        """Runs a coroutine in the background; it is cancelled when the pool is released."""
         self._background.spawn(coroutine)
 
     async def release(self) -> None:
-        """Gives the pool up in good order: nothing more starts, and what was ordered is recorded.
+        """Releases the pool: starts no more runs, and waits until those ordered are recorded.
 
-        The end of the VM's lease, which follows, lets a successor claim.
+        A successor can claim the pool once the VM's lease ends, which follows.
         """
         self._is_releasing = True
         self.is_ready = False
@@ -187,20 +195,22 @@
         try:
             await self._journal.recorded()
         except ClaimLostError as error:
-            _log.info("{}: {}", self.pool, error)
+            _log.info("{}: claim lost while the pool was released: {}", self.pool, error)
         await self._background.cancel()
         self.is_lost.set()
 
     async def close(self) -> None:
-        """Ends all activity, with the claim lost or the process ending."""
+        """Cancels all background work, after the claim is lost or when the process exits."""
         self.is_ready = False
         self.is_lost.set()
         await self._background.cancel()
 
     def mark_lost(self, reason: str) -> None:
-        """Notes that another process may own the pool."""
+        """Stops scheduling, as another process may own the pool now."""
         if not self.is_lost.is_set():
-            _log.warning("{}: the claim with token {} is lost: {}", self.pool, self.token, reason)
+            _log.warning(
+                "{}: ownership claim with fencing token {} lost: {}", self.pool, self.token, reason
+            )
         self.is_ready = False
         self.is_lost.set()
 
@@ -210,10 +220,10 @@
         except ClaimLostError as error:
             self.mark_lost(str(error))
 
-    # SessionOwner
+    # Callbacks of worker sessions (`SessionOwner`)
 
     def may_place(self) -> bool:
-        """Tells whether new runs may be placed: the claim holds and commits succeed."""
+        """Returns whether new runs may be placed: the claim is valid and commits succeed."""
         return self.may_order() and self._claim.failing_since is None
 
     def may_order(self) -> bool:
@@ -238,27 +248,31 @@
         self._wake.set()
 
     def on_fenced(self, session: WorkerSession) -> None:
-        self.mark_lost(f"worker {session.worker} has seen a higher token")
+        self.mark_lost(f"worker {session.worker} has seen a higher fencing token")
 
     async def recorded(self) -> None:
         try:
             await self._journal.recorded()
         except ClaimLostError as error:
-            # The ends stay listed for the next owner.
+            # Workers keep reporting these ends, so the next owner records them.
             raise TimeoutError(str(error)) from error
 
     def on_ended(self, attempt: Attempt, how: HowEnded, checkpoint: str) -> None:
         self.lifecycle.apply_end(attempt, how, checkpoint)
 
-    # Callers
+    # Requests of callers
 
     async def accept(self, job_id: JobId, queue: Queue, spec: JobSpec) -> Refusal | None:
-        """Records a job, once. Raises `ClaimLostError` if its outcome is not known."""
+        """Records a job; repeated calls with the same id record it once.
+
+        Raises `ClaimLostError` if it is unknown whether the job was recorded.
+        """
         if job_id in self.job_by_id:
             return None
         failing = self._claim.failing_since
         is_store_down = failing is not None and self._clock.boot_time() - failing > MAX_STORE_OUTAGE
-        # An earlier call's record may still be written, so a refusal would not be certain.
+        # While an earlier call for this id is pending, its record may still be written, and a
+        # refusal could turn out wrong.
         if is_store_down and not self._journal.is_inserting(job_id):
             return Refusal("the store does not answer", retry_delay(queue, spec))
         record = JobRecord(
@@ -274,20 +288,20 @@
         if not self._journal.is_inserting(job_id):
             job = Job(record)
             self._journal.insert(job)
-            # Placed at once; the placement is recorded together with the job or after it.
+            # Scheduled at once: the placement is committed together with the job or after it.
             self.lifecycle.open_due(job)
         await self._journal.inserted(job_id)
         return None
 
     def _on_recorded(self, job: Job) -> None:
-        """Makes a job known once its record is in the store."""
+        """Registers a job once its record is in the store."""
         record = job.record
         if record.job_id not in self.job_by_id:
             self.job_by_id[record.job_id] = job
             _log.info("{} accepted into {}", record.job_id, record.queue)
 
     async def cancel(self, job_id: JobId) -> bool:
-        """Cancels a job; false if there is none. Raises `ClaimLostError`."""
+        """Cancels a job and returns whether it exists. Raises `ClaimLostError`."""
         job = self.job_by_id.get(job_id)
         if job is None:
             return False
@@ -360,8 +374,8 @@
             self._wake.clear()
             started_at = self._clock.boot_time()
             self._placer.schedule()
-            # Events that arrive meanwhile are handled by one pass, and passes take at most half of
-            # the processor's time, however long the queue is.
+            # Events that arrive meanwhile are handled by one pass. Sleeping for as long as the pass
+            # took limits passes to half of the processor's time, however long the queue is.
             await self._clock.sleep(
                 max(self._clock.boot_time() - started_at, MIN_SCHEDULING_INTERVAL)
             )
--- a/hornbeamramp/poolowner/pacing.py
+++ b/hornbeamramp/poolowner/pacing.py
@@ -1,7 +1,8 @@
-"""Slows tasks that fill idle processors where they disturb tasks that serve users.
+"""Throttles best-effort tasks that slow down latency-sensitive tasks on the same worker.
 
-Each list of a worker tells the tail of the response times of its serving tasks. Near a target all
-filling tasks of the worker are paused; well below it they are let go again step by step.
+Each list of a worker reports the tail of the response times of its latency-sensitive tasks. When
+one approaches its target, all best-effort tasks of the worker are paused; well below the target,
+they are sped up again step by step.
 """
 
 from collections.abc import Iterable
@@ -11,36 +12,36 @@
 
 __all__ = ["Pacer", "is_best_effort", "is_latency_sensitive"]
 
-# Share of a target at which filling tasks are paused, and below which they may work again. The gap
-# keeps them from being paused and let go in turns.
+# Shares of a response time target: best-effort tasks are paused at the upper one and resumed at the
+# lower one. The gap prevents oscillation between the two.
 PAUSE_SHARE = 0.85
 RESUME_SHARE = 0.6
-# Part of their speed given back at a time, and the pause between, which is longer than the half
-# second that a worker's figure covers and the two seconds after which it surely is a new one.
+# Speed restored at a time, and the interval between such steps. It is longer than the 0.5 s that a
+# worker's measurement covers and the 2 s within which a new one is certain to arrive.
 RESUME_STEP_PERCENT = 25
 RESUME_INTERVAL = timedelta(seconds=2.5)
 FULL_PERCENT = 100
 
 
 def is_latency_sensitive(attempt: Attempt) -> bool:
-    """Tells whether a run serves users within a response target."""
+    """Returns whether a run has a target for its response times."""
     return attempt.task.unit.step.spec.response_target_ms > 0
 
 
 def is_best_effort(attempt: Attempt) -> bool:
-    """Tells whether a run uses what others leave over."""
+    """Returns whether a run uses only processors that others leave idle."""
     return attempt.task.unit.step.spec.fills
 
 
 class Pacer:
-    """Decides the pace of the filling tasks of each worker."""
+    """Decides the pace of the best-effort tasks of each worker."""
 
     def __init__(self) -> None:
         self._percent_by_worker: dict[str, int] = {}
         self._changed_at: dict[str, timedelta] = {}
 
     def percent(self, session: WorkerSession, now: timedelta) -> int:
-        """Returns the pace that a worker's filling tasks should have now, 0 to 100."""
+        """Updates and returns the pace of a worker's best-effort tasks, 0 to 100 percent."""
         worker = session.worker
         percent = self._percent_by_worker.get(worker, FULL_PERCENT)
         highest_share = max(
@@ -65,7 +66,7 @@
     def changes(
         self, sessions: Iterable[WorkerSession], now: timedelta
     ) -> list[tuple[Attempt, int]]:
-        """Returns the runs whose pace has to change, with their new pace."""
+        """Returns the runs whose pace has to change, with their new pace in percent."""
         changes = []
         for session in sessions:
             best_effort = [
--- a/hornbeamramp/poolowner/placer.py
+++ b/hornbeamramp/poolowner/placer.py
@@ -1,4 +1,4 @@
-"""Places the waiting units of an owned pool: in which order, on which workers, for whose room."""
+"""Places the waiting units of an owned pool: orders them, chooses workers and preempts runs."""
 
 from collections import Counter
 from collections.abc import Collection, Iterable
@@ -26,26 +26,33 @@
 
 __all__ = ["Placer"]
 
-# Steps of a pool that keep their tickets fresh while they wait for room. Each takes up to half of
-# a VM's turn at the advice service.
+# Steps of a pool that renew their tickets while they wait for capacity. Each uses up to half of one
+# VM's share of the advice service.
 MAX_PREFETCHING_STEPS = 3
-# Tasks of one step for which runs are preempted at a time; more would outrun the next list.
+# Tasks of one step for which runs are preempted at a time. With more, victims would be chosen
+# before the worker's next list shows what the earlier stops have freed.
 MAX_TASKS_PER_PREEMPTION = 16
-# Pause between two searches for runs to stop for one step; what is stopped ends within 200 ms.
+# Minimum time between two searches for victims for one step; stopped runs end within 200 ms.
 PREEMPTION_INTERVAL = timedelta(milliseconds=100)
 
 _log = logbook.Logger("owner")
 
 
 class _Workers(msgspec.Struct, frozen=True):
-    """Workers of one pass: those that may be used, and those of them with room for any step."""
+    """Workers of one scheduling pass.
+
+    `usable_by_id`
+        Workers on which runs may be placed.
+    `with_capacity`
+        Those of them with free capacity for the smallest waiting size in each resource.
+    """
 
     usable_by_id: dict[UpstreamId, WorkerSession]
     with_capacity: list[WorkerSession]
 
 
 class Placer:
-    """Keeps the steps with waiting units, and what is learned of workers from ended runs."""
+    """Keeps the steps with waiting units, and speed and health of workers from ended runs."""
 
     def __init__(self, owner: "PoolOwner", launcher: Launcher, clock: Clock) -> None:
         self._owner = owner
@@ -56,7 +63,7 @@
         self.health = WorkerHealth()
 
     def add(self, steps: Iterable[StepRun]) -> bool:
-        """Adds steps whose predecessors are done; tells whether there were any."""
+        """Adds steps whose predecessors are done; returns whether there were any."""
         before = len(self._open_steps)
         self._open_steps += steps
         return len(self._open_steps) > before
@@ -68,24 +75,27 @@
             self._open_steps.append(unit.step)
 
     def record_end(self, attempt: Attempt, how: HowEnded) -> None:
-        """Learns from the end of a run."""
+        """Updates the health and speed of the worker on which a run ended."""
         now = self._clock.boot_time()
         worker = UpstreamId(attempt.session.worker)
         was_quarantined = self.health.is_quarantined(worker, now)
         self.health.record_end(attempt, how, now)
         if self.health.is_quarantined(worker, now) and not was_quarantined:
-            _log.warning("worker {} fails task after task; set aside", worker)
+            _log.warning("worker {} quarantined: tasks of several jobs failed in a row", worker)
         if how is HowEnded.DONE and attempt.started_at is not None and not attempt.resumed:
             self.speeds.record_run(attempt, (now - attempt.started_at).total_seconds(), 1.0)
 
     def forget(self, worker: UpstreamId) -> None:
-        """Drops what is known of a worker that has left."""
+        """Drops the health and speed of a worker that has left."""
         self.health.forget(worker)
         self.speeds.forget(worker)
 
     def schedule(self) -> None:
-        """Places what fits, in order of priority. Within one, those that can still be in time come
-        first; what is too late for its caller comes after all others."""
+        """Places the units that fit, in order of priority.
+
+        Within a priority, steps that can still finish on time come first. Steps that are too late
+        for their caller come after all others, whatever their priority.
+        """
         if not self._owner.may_place():
             return
         self._open_steps = [
@@ -98,8 +108,9 @@
         prefetches_left = MAX_PREFETCHING_STEPS
         for step in self._open_steps:
             self._place(step, workers, prefetches_left > 0)
-            # What still waits after its turn is next when capacity is freed. Steps that no worker
-            # may run stay in the queue indefinitely, and would keep the others from being next.
+            # Steps that still wait are the next to start when capacity is freed, so they prefetch
+            # tickets. Steps that no worker may run don't count: they stay in the queue indefinitely
+            # and would use up the limit.
             prefetches_left -= bool(step.waiting and self._is_feasible(step))
 
     def _usable_workers(self) -> _Workers:
@@ -132,8 +143,11 @@
         )
 
     def _place(self, step: StepRun, workers: _Workers, may_prefetch: bool) -> None:
-        """Starts what fits. The steps that are next keep their tickets fresh without room too, so
-        that no room stands empty while advice is asked for."""
+        """Launches the units of a step that fit.
+
+        With ``may_prefetch``, tickets are also renewed while there is no capacity, so that freed
+        capacity does not stay idle during an advice request.
+        """
         queue = self._owner.queue_of(step.job)
         if queue is None or queue.advice is None:
             self._launch_on(step, workers.with_capacity)
@@ -142,7 +156,7 @@
             return
         now = self._clock.boot_time()
         grants = step.grants
-        # Sorted, so that equal choices don't depend on the order of a set.
+        # Sorted, so that ties don't depend on the iteration order of a set.
         granted = [
             workers.usable_by_id[worker]
             for worker in sorted(grants.granted)
@@ -156,7 +170,7 @@
             return
         if not self._launcher.may_ask(step):
             return
-        # Room found on granted workers is kept while their tickets are renewed.
+        # Capacity found on granted workers stays reserved while their tickets are renewed.
         reserved = self._reserve(step, with_capacity)
         if reserved:
             self._launcher.renew_and_launch(step, queue, reserved, granted)
@@ -176,8 +190,8 @@
 
     @staticmethod
     def _unasked(step: StepRun, workers: _Workers, may_prefetch: bool) -> list[WorkerSession]:
-        """Returns workers worth a first question: those with room, or any for a step that is
-        next."""
+        """Returns workers to include in a first advice request: those with capacity, or any that
+        could run the step if it may prefetch."""
         asked = step.grants.asked
         if may_prefetch:
             candidates = list(workers.usable_by_id.values())
@@ -186,7 +200,7 @@
         return [s for s in candidates if s.worker not in asked and could_ever_run(step, s)]
 
     def _is_feasible(self, step: StepRun) -> bool:
-        """Tells whether the workers known to be allowed could run the step if they were empty."""
+        """Returns whether the granted workers could run the step's next unit if they were empty."""
         grants = step.grants
         if not grants.asked:
             return True
@@ -195,7 +209,7 @@
         return could_all_run(step.waiting[0], granted)
 
     def _preempt(self, step: StepRun, sessions: Collection[WorkerSession]) -> None:
-        """Stops less urgent runs for the tasks of a step that find no room."""
+        """Preempts less urgent runs for the tasks of a step that don't fit."""
         now = self._clock.boot_time()
         is_recent = (
             step.preemption_checked_at is not None
@@ -220,7 +234,7 @@
             victim.session.stop(victim)
 
     def _reserve(self, step: StepRun, sessions: list[WorkerSession]) -> list[Unit]:
-        """Takes units off the step's queue and counts them on workers, as far as they fit."""
+        """Takes units off the step's queue and reserves capacity for them, as far as they fit."""
         reserved: list[Unit] = []
         if not sessions:
             return reserved
--- a/hornbeamramp/poolowner/preemption.py
+++ b/hornbeamramp/poolowner/preemption.py
@@ -1,4 +1,4 @@
-"""Makes room for an urgent task by stopping less urgent ones that resume from their checkpoints."""
+"""Chooses less urgent runs to preempt for a task; preempted runs resume from a checkpoint."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -9,9 +9,9 @@
 
 __all__ = ["choose_victims", "expected_slots"]
 
-# A run is not stopped before it has worked for this long, so that each run makes some progress.
+# Runs younger than this are not preempted, so that each run makes some progress.
 MIN_RUN_TIME = timedelta(seconds=1)
-# Nearly finished runs are left alone: their room comes free soon in any case.
+# Runs with at least this progress are not preempted: they free their capacity soon in any case.
 MAX_VICTIM_PERCENT = 90.0
 
 
@@ -31,7 +31,7 @@
 
 
 def expected_slots(step: StepRun, sessions: Iterable[WorkerSession]) -> int:
-    """Returns how many tasks of the step fit into what is free or being stopped."""
+    """Returns how many tasks of the step fit once the runs being stopped have ended."""
     total = 0
     for session in sessions:
         if could_ever_run(step, session):
@@ -41,25 +41,25 @@
 
 
 def _count_fitting(step: StepRun, session: WorkerSession, stopping: Iterable[Attempt]) -> int:
-    free = list(session.free())
+    available = list(session.free())
     for attempt in stopping:
         size = attempt.size
-        free[0] += size.processors_milli
-        free[1] += size.memory_mib
-        free[2] += size.accelerators
+        available[0] += size.processors_milli
+        available[1] += size.memory_mib
+        available[2] += size.accelerators
     size = step.size
     needs = (size.processors_milli, size.memory_mib, size.accelerators)
-    counts = [have // need for have, need in zip(free, needs, strict=True) if need]
+    counts = [have // need for have, need in zip(available, needs, strict=True) if need]
     return max(min(counts, default=0), 0)
 
 
 def choose_victims(
     step: StepRun, missing: int, sessions: Iterable[WorkerSession], now: timedelta
 ) -> list[Attempt]:
-    """Returns runs whose end makes room for up to ``missing`` tasks of the step.
+    """Returns runs to preempt so that up to ``missing`` more tasks of the step fit.
 
-    Takes workers where the fewest runs have to end for a task, and there those that have done the
-    least work.
+    Prefers workers where the fewest runs have to end for one task, and on a worker the runs with
+    the least progress.
     """
     victims: list[Attempt] = []
     options = []
@@ -83,7 +83,10 @@
 def _fewest_victims(
     step: StepRun, session: WorkerSession, candidates: list[Attempt], stopping: list[Attempt]
 ) -> list[Attempt]:
-    """Returns the first candidates whose end lets one more task fit, or none."""
+    """Returns the shortest prefix of the candidates whose end lets one more task fit.
+
+    The list is empty if even the end of all candidates frees too little.
+    """
     before = _count_fitting(step, session, stopping)
     chosen: list[Attempt] = []
     for candidate in candidates:
--- a/hornbeamramp/poolowner/recovery.py
+++ b/hornbeamramp/poolowner/recovery.py
@@ -1,4 +1,4 @@
-"""What a new owner reads: the records of its pool, and stand-ins for workers it doesn't see."""
+"""Recovery of a new owner: reads the pool's records and lists unlisted workers as placeholders."""
 
 import asyncio
 
@@ -24,8 +24,11 @@
 
 
 async def read_jobs(store: StateStore, pool: PoolName) -> list[tuple[JobRecord, JobProgress]]:
-    """Returns the pool's jobs. Only its owner writes them, so reads after the claim are stable."""
-    # At once, as a store that is slow at a takeover keeps the pool waiting with each call.
+    """Returns the pool's jobs. Only its owner writes them, so reads after the claim are consistent.
+
+    Jobs whose record can't be decoded are logged and left out.
+    """
+    # Concurrently, as each call to a slow store prolongs the takeover.
     (progress_items, _), (job_items, _) = await asyncio.gather(
         store.range(progress_prefix(pool)), store.range(job_prefix(pool))
     )
@@ -37,12 +40,12 @@
         try:
             record = decode_record(item.value)
         except msgspec.MsgspecError as error:
-            _log.error("{}: the job's record can't be read: {}", item.key, error)
+            _log.error("{}: job record can't be decoded, job left out: {}", item.key, error)
             continue
         jobs.append((record, progress_by_id.get(record.job_id, JobProgress())))
     return jobs
 
 
 def placeholder_listing(worker: UpstreamId) -> WorkerListing:
-    """Returns a listing without address, for a worker that is not listed but may run tasks."""
+    """Returns a listing without address, for an unlisted worker that may still run tasks."""
     return WorkerListing(worker, PoolName(""), "", DataCentreId(""), True, ZERO)
--- a/hornbeamramp/poolowner/speeds.py
+++ b/hornbeamramp/poolowner/speeds.py
@@ -1,7 +1,8 @@
-"""Learns how fast each worker is, from how long runs take against their estimates.
+"""Estimates the speed of each worker from the durations of runs and their estimates.
 
-Estimates are off, but alike for tasks of one image, and their errors don't depend on the worker. So
-the logarithm of estimate over duration is split into a part of the image and one of the worker.
+Estimates are inaccurate, but by a similar factor for all tasks of an image, and independently of
+the worker. So the logarithm of estimate over duration is modelled as the sum of a term of the image
+and a term of the worker, each an exponential moving average.
 """
 
 import math
@@ -12,19 +13,19 @@
 
 __all__ = ["WorkerSpeeds"]
 
-# Weight of one run in a worker's figure: some ten runs outweigh the past, so that a worker that
-# turns slow is noticed within a second or two of usual load.
+# Weight of one run in a worker's speed: about ten runs outweigh the earlier ones, so that a worker
+# that becomes slow is detected within 1 to 2 s at usual load.
 WORKER_WEIGHT = 0.1
-# Weight in an image's figure, which doesn't change during the life of the image.
+# Weight of one run in an image's ratio, which is constant over the life of the image.
 IMAGE_WEIGHT = 0.05
-# Shorter runs are dominated by the way of the order and of the end.
+# Shorter runs are ignored: the delivery of the start order and of the end dominates their duration.
 MIN_RUN_S = 0.1
-# A worker below this share of the usual speed takes part only when no other has room.
+# A worker below this share of the usual speed is used only when no other has capacity.
 SUSPECT_SPEED = 0.4
 
 
 class WorkerSpeeds:
-    """Relative speeds; 1.0 is usual and stands for workers of which nothing is known."""
+    """Relative speeds of workers; 1.0 is the usual speed and the default for unknown workers."""
 
     def __init__(self) -> None:
         self._log_speed_by_worker: dict[UpstreamId, float] = {}
@@ -37,12 +38,12 @@
         return self.speed(worker) < SUSPECT_SPEED
 
     def duration_ratio(self, step: StepRun) -> float:
-        """Returns how long runs of the step's image take at the usual speed, over their estimates;
-        1.0 as long as nothing is known."""
+        """Returns the duration of the step's image at the usual speed divided by its estimate; 1.0
+        before the first run."""
         return math.exp(-self._log_ratio_by_image.get(_image(step), 0.0))
 
     def record_run(self, attempt: Attempt, elapsed_s: float, fraction: float) -> None:
-        """Notes that a run has done ``fraction`` (0 to 1) of its work in ``elapsed_s`` seconds."""
+        """Records that a run did ``fraction`` (0 to 1) of its work in ``elapsed_s`` seconds."""
         step = attempt.task.unit.step
         estimate_s = step.spec.estimate_ms / 1000
         if elapsed_s < MIN_RUN_S or fraction <= 0.0 or estimate_s <= 0.0:
@@ -57,7 +58,7 @@
         self._log_speed_by_worker[worker] = worker_log + WORKER_WEIGHT * error
 
     def forget(self, worker: UpstreamId) -> None:
-        """Drops what is known of a worker that may have become another kind."""
+        """Drops the speed of a worker, which may come back on other hardware."""
         self._log_speed_by_worker.pop(worker, None)
 
 
--- a/hornbeamramp/workload/__init__.py
+++ b/hornbeamramp/workload/__init__.py
@@ -1,4 +1,4 @@
-"""What callers and operators hand in: jobs made of steps, queues, pools and their configuration."""
+"""Jobs as callers submit them, and queues and pools as operators configure them."""
 
 from hornbeamramp.workload.config import (
     URGENT,
--- a/hornbeamramp/workload/config.py
+++ b/hornbeamramp/workload/config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: queues that callers name, and pools of workers."""
+"""Configuration set by operators: queues that callers submit to, and pools of workers."""
 
 from datetime import timedelta
 
@@ -8,12 +8,16 @@
 
 __all__ = ["URGENT", "AdviceTiming", "ClusterConfig", "Pool", "Queue", "RouteMatch"]
 
-# Priority of queues that come first.
+# The most urgent priority.
 URGENT = 0
 
 
 class AdviceTiming(msgspec.Struct, frozen=True):
-    """Cost of asking which workers may run a step, and how long a ticket stays valid."""
+    """Duration of an advice request about a step, and how long a ticket stays valid.
+
+    `base`, `per_worker`
+        A request takes ``base`` plus ``per_worker`` for each worker it names.
+    """
 
     base: timedelta
     per_worker: timedelta
@@ -24,7 +28,7 @@
     """A queue of jobs. Priority 0 is served first.
 
     `stretch`, `target`
-        A job is on time within ``stretch`` times its longest chain of work plus ``target``.
+        A job is on time if it ends within ``stretch`` times its critical path plus ``target``.
     """
 
     name: RouteName
@@ -40,7 +44,7 @@
 
 
 class Pool(msgspec.Struct, frozen=True):
-    """A pool of workers. ``standby`` pools hold machines that are switched off."""
+    """A pool of workers. The machines of a ``standby`` pool are switched off."""
 
     name: PoolName
     guards_capacity: bool = False
@@ -50,14 +54,14 @@
 
 
 class RouteMatch(msgspec.Struct, frozen=True):
-    """What a caller's host and path name: a queue and the rest of the path."""
+    """Queue that a caller's host and path select, and the path after the queue's prefix."""
 
     queue: Queue
     path_suffix: str
 
 
 class ClusterConfig(msgspec.Struct, frozen=True):
-    """One version of the configuration. Versions only grow."""
+    """One version of the configuration. Version numbers never decrease."""
 
     version: int
     queue_by_name: dict[RouteName, Queue]
--- a/hornbeamramp/workload/model.py
+++ b/hornbeamramp/workload/model.py
@@ -1,4 +1,4 @@
-"""Jobs made of steps: numbers of equal tasks that start once their predecessors are done."""
+"""Jobs made of steps: groups of identical tasks that start once their predecessors are done."""
 
 from enum import Enum
 from typing import NamedTuple
@@ -19,8 +19,8 @@
     "task_name",
 ]
 
-# Bounds of a job, so that one caller can't exhaust an owner's memory. A job of the largest kind
-# known has five steps of 84 tasks.
+# Limits of a job, so that one caller can't exhaust an owner's memory. The largest known kind of job
+# has five steps of 84 tasks.
 MAX_STEPS = 64
 MAX_TASKS = 20_000
 
@@ -42,7 +42,7 @@
     """One step: ``count`` tasks, each of the given size.
 
     `processors_milli`, `memory_mib`, `accelerators`
-        Size of one task; thousandths of a core, MiB, whole accelerators.
+        Size of one task in thousandths of a core, MiB and whole accelerators.
     `estimate_ms`
         The submitter's rough estimate of a task's duration.
     `after`
@@ -50,19 +50,19 @@
     `gang`
         All tasks run at the same time, end together and share run numbers.
     `same_rack`, `data_rack`
-        Racks on which the tasks run at full speed.
+        Racks on which the tasks run at full speed: one common rack, and the rack with this label.
     `max_per_worker`
-        Most tasks of one occurrence of the step on one worker; 0 is no limit.
+        Maximum number of tasks of one occurrence of the step on one worker; 0 is no limit.
     `speculative`
         A second copy of a task may run at the same time.
     `long_running`
-        The tasks run until the job is cancelled and are restarted however they end.
+        The tasks run until the job is cancelled and are restarted whenever they end.
     `response_target_ms`
-        Bound on the tail of the response times of a long-running task; 0 is none.
+        Target for the tail of the response times of a long-running task in ms; 0 is none.
     `fills`
-        The tasks use processors that others leave idle; their own are not counted.
+        Best-effort tasks, which use processors that others leave idle; their own are not counted.
     `max_unavailable`
-        Most tasks of a long-running step that may be away because of planned work.
+        Maximum number of tasks of a long-running step that planned work may take down at a time.
     """
 
     count: int
@@ -115,21 +115,24 @@
 
 
 def task_name(key: StepKey, index: int) -> str:
-    """Returns the name under which workers know a task."""
+    """Returns the name of a task in start orders and worker lists."""
     return f"{key}.{index}"
 
 
 def check_job(job: JobSpec) -> Result[JobSpec, str]:
-    """Checks what the types don't: step order and sizes. The error names the field."""
+    """Checks what the types can't express: step order, counts and sizes.
+
+    The error starts with the name of the field.
+    """
     if not 1 <= len(job.steps) <= MAX_STEPS:
-        return Err(f"steps: {len(job.steps)} steps, allowed are 1 to {MAX_STEPS}")
+        return Err(f"steps: {len(job.steps)} steps given, 1 to {MAX_STEPS} allowed")
     for number, step in enumerate(job.steps):
         if step.count < 1:
             return Err(f"steps[{number}].count: must be at least 1")
         if min(step.processors_milli, step.memory_mib, step.accelerators) < 0:
             return Err(f"steps[{number}]: sizes must not be negative")
         if any(not 0 <= earlier < number for earlier in step.after):
-            return Err(f"steps[{number}].after: names a step that is not an earlier one")
+            return Err(f"steps[{number}].after: must refer only to earlier steps")
     if sum(step.count for step in job.steps) * job.occurrences > MAX_TASKS:
-        return Err(f"steps: more than {MAX_TASKS} tasks")
+        return Err(f"steps: more than {MAX_TASKS} tasks over all occurrences")
     return Ok(job)
