--- a/hornbeamramp/poolowner/owner.py
+++ b/hornbeamramp/poolowner/owner.py
@@ -48,8 +48,8 @@
 
 __all__ = ["OwnerContext", "PoolOwner", "Refusal"]
 
-# Time for which an owner goes on extending worker leases after its claim was last known to be
-# valid. Added to the 6 s leases, it lets running tasks survive store outages of up to 10 s.
+# Time for which an owner goes on extending worker leases after its claim is no longer guaranteed to
+# be valid. Together with the 6 s leases, it lets running tasks survive store outages of up to 10 s.
 LEASE_EXTENSION_GRACE = timedelta(seconds=3)
 # Upper bound on the lease that a former owner can have given to a worker this owner can't reach:
 # the grace period, the lease of 6 s on a clock that is 2% slow, and a second for calls in flight.
--- a/tests/poolowner/builders.py
+++ b/tests/poolowner/builders.py
@@ -1,4 +1,4 @@
-"""Sessions with running tasks, and records of jobs, for tests of decisions."""
+"""Builders of worker sessions, running tasks and job records for tests of the pool owner."""
 
 import itertools
 from datetime import timedelta
@@ -15,7 +15,7 @@
 
 __all__ = ["record", "running", "session"]
 
-_numbers = itertools.count(1)
+_job_numbers = itertools.count(1)
 
 CAPACITY = Resources(8000, 8000, 4, 0, 0)
 
@@ -23,7 +23,7 @@
 def record(*steps, priority=0, queue="gate", accepted_ms=0, stretch=2.0, target_ms=1000, **fields):
     """Returns the record of a job with the given steps."""
     return JobRecord(
-        job_id=f"{next(_numbers):016x}",
+        job_id=f"{next(_job_numbers):016x}",
         queue=queue,
         accepted_ms=accepted_ms,
         priority=priority,
@@ -35,29 +35,29 @@
 
 
 def session(name, rack="r0", capacity=CAPACITY):
-    """Returns the session of an idle worker that can be used."""
+    """Returns the session of an idle, reachable worker."""
     clock = ManualClock()
     clock.set(timedelta(seconds=100))
     listing = WorkerListing(name, "pool", name, "gebze", False, capacity, ("a", rack))
     background = BackgroundTasks("test", logbook.Logger("test"))
-    made = WorkerSession(
+    worker_session = WorkerSession(
         listing, None, clock, None, background, timedelta(seconds=13), timedelta(seconds=10)
     )
-    made.reachable = True
-    made.now = clock.boot_time()
-    return made
+    worker_session.reachable = True
+    worker_session.now = clock.boot_time()
+    return worker_session
 
 
-def running(on, step, priority=0, percent=10.0, age_s=5.0):
-    """Adds a running task of a new job to a session."""
+def running(worker, step, priority=0, percent=10.0, age_s=5.0):
+    """Adds a running task of a new job to a worker's session and returns its attempt."""
     owner_job = Job(record(step, priority=priority))
     owner_job.open_occurrence(0)
     step_run = owner_job.steps_by_occurrence[0][0]
     task = step_run.units[0].tasks[0]
-    attempt = Attempt(task, task.name, 1, step_run.size, on)
+    attempt = Attempt(task, task.name, 1, step_run.size, worker)
     attempt.phase = AttemptPhase.RUNNING
     attempt.percent = percent
-    attempt.started_at = on.now - timedelta(seconds=age_s)
-    on.reserve(attempt)
+    attempt.started_at = worker.now - timedelta(seconds=age_s)
+    worker.reserve(attempt)
     task.attempt = attempt
     return attempt
--- a/tests/poolowner/test_advice.py
+++ b/tests/poolowner/test_advice.py
@@ -1,4 +1,4 @@
-"""Validity of tickets, which decides whether scarce advice is used or thrown away."""
+"""Validity of tickets and grants of the advice service."""
 
 from datetime import timedelta
 
@@ -7,8 +7,9 @@
 SECOND = timedelta(seconds=1)
 
 
-def test_ticket_of_a_question_that_waited_long_is_valid_from_its_answer():
-    """Validity was counted from the question: a step whose questions took longer never ran."""
+def test_ticket_of_a_slow_request_is_valid_from_its_answer():
+    """Guards against counting the validity from the request instead of the answer: a step whose
+    requests took longer than the validity never ran."""
     grants = Grants()
     grants.add(["w0", "w1"], Advice({"w0": "t"}, 1.5 * SECOND), 10 * SECOND)
     assert grants.has_ticket("w0", 11 * SECOND)
--- a/tests/poolowner/test_choice.py
+++ b/tests/poolowner/test_choice.py
@@ -1,4 +1,4 @@
-"""Which workers are chosen, by load pattern."""
+"""Choice of workers and of runs to preempt, by load pattern."""
 
 from collections import Counter
 from types import SimpleNamespace
@@ -73,7 +73,7 @@
     assert choose(step, sessions, 1, assigned_by_worker=Counter({"w0": 1})) == ["w1"]
 
 
-def test_gang_takes_room_on_one_rack_or_none():
+def test_gang_is_placed_on_one_rack_or_not_at_all():
     step = StepSpec(3, 4000, 100, gang=True, same_rack=True)
     sessions = [session("w0", rack="r0"), session("w1", rack="r1"), session("w2", rack="r1")]
     assert set(choose(step, sessions)) == {"w1", "w2"}
--- a/tests/poolowner/test_health.py
+++ b/tests/poolowner/test_health.py
@@ -1,4 +1,4 @@
-"""Workers that fail all they start, and tasks that stand still."""
+"""Quarantine of workers on which tasks fail, and detection of stalled tasks."""
 
 from datetime import timedelta
 
@@ -16,25 +16,25 @@
         health.record_end(running(worker, SMALL), how, now)
 
 
-def test_worker_that_fails_the_tasks_of_several_jobs_is_set_aside_and_tried_again():
+def test_worker_that_fails_the_tasks_of_several_jobs_is_quarantined_and_used_again():
     health, worker = WorkerHealth(), session("w0")
     end_runs(health, worker, HowEnded.FAILED, 3)
     assert health.is_quarantined("w0", 2 * SECOND)
     assert not health.is_quarantined("w0", 4 * SECOND)
 
 
-def test_worker_that_goes_on_failing_is_set_aside_for_longer():
+def test_worker_that_goes_on_failing_is_quarantined_for_longer():
     health, worker = WorkerHealth(), session("w0")
     end_runs(health, worker, HowEnded.FAILED, 3)
     end_runs(health, worker, HowEnded.FAILED, 1, 4 * SECOND)
     assert health.is_quarantined("w0", 7 * SECOND)
 
 
-def test_job_that_can_never_be_done_sets_no_worker_aside():
+def test_job_that_always_fails_quarantines_no_worker():
     health, worker = WorkerHealth(), session("w0")
-    hopeless = running(worker, SMALL)
+    failing = running(worker, SMALL)
     for _ in range(10):
-        health.record_end(hopeless, HowEnded.FAILED, SECOND)
+        health.record_end(failing, HowEnded.FAILED, SECOND)
     assert not health.is_quarantined("w0", SECOND)
 
 
@@ -46,7 +46,7 @@
     assert not health.is_quarantined("w0", SECOND)
 
 
-def test_task_without_progress_is_found_and_one_that_goes_on_is_not():
+def test_task_without_progress_is_stalled_and_one_with_progress_is_not():
     worker = session("w0")
     hung, busy = running(worker, SMALL), running(worker, SMALL)
     hung.progress_at = worker.now - 4 * SECOND
@@ -54,15 +54,15 @@
     assert stalled_attempts([worker], worker.now) == [hung]
 
 
-def test_task_on_a_worker_that_does_not_answer_is_left_to_its_lease():
+def test_task_on_an_unreachable_worker_is_left_to_its_lease():
     worker = session("w0")
     running(worker, SMALL).progress_at = worker.now - 9 * SECOND
     worker.reachable = False
     assert stalled_attempts([worker], worker.now) == []
 
 
-def test_long_running_task_may_stand_at_its_percent():
+def test_long_running_task_without_progress_is_not_stalled():
     worker = session("w0")
-    lasting = running(worker, StepSpec(1, 1000, 100, long_running=True))
-    lasting.progress_at = worker.now - 9 * SECOND
+    long_running = running(worker, StepSpec(1, 1000, 100, long_running=True))
+    long_running.progress_at = worker.now - 9 * SECOND
     assert stalled_attempts([worker], worker.now) == []
--- a/tests/poolowner/test_lateness.py
+++ b/tests/poolowner/test_lateness.py
@@ -1,4 +1,4 @@
-"""What a job can still be for its caller."""
+"""Lateness of jobs, and retry delays of refused callers."""
 
 from datetime import timedelta
 
@@ -19,16 +19,18 @@
     StepSpec(1, estimate_ms=3000),
     StepSpec(1, estimate_ms=500, after=(0, 1)),
 )
-TERMS = AdviceTiming(timedelta(milliseconds=40), timedelta(milliseconds=2), timedelta(seconds=1))
+ADVICE_TIMING = AdviceTiming(
+    timedelta(milliseconds=40), timedelta(milliseconds=2), timedelta(seconds=1)
+)
 
 
 def at(now_ms, step=0, duration_ratio=1.0, timing=None, steps=STEPS):
-    """Returns the prospect of a step whose job was accepted at 0, with stretch 2 and 1 s on top."""
+    """Returns the lateness of a step whose job was accepted at 0, with stretch 2 and target 1 s."""
     job = record(*steps, stretch=2.0, target_ms=1000)
     return estimate_lateness(job, CriticalPath.of(steps), step, 0, now_ms, duration_ratio, timing)
 
 
-def test_chain_is_the_longest_way_through_the_steps():
+def test_critical_path_is_the_longest_path_through_the_steps():
     critical_path = CriticalPath.of(STEPS)
     assert critical_path.remaining_by_step == ((1500.0, 2), (3500.0, 2), (500.0, 1))
     assert critical_path.longest == (3500.0, 2)
@@ -55,8 +57,8 @@
     assert at(0, step=1, duration_ratio=2.0).latest_start_ms == 2 * 7000 + 1000 - 7000
 
 
-def test_a_question_for_each_step_counts_as_work():
-    assert at(0, step=1, timing=TERMS).latest_start_ms == 2 * 3700 + 1000 - 3700
+def test_advice_request_for_each_step_counts_as_work():
+    assert at(0, step=1, timing=ADVICE_TIMING).latest_start_ms == 2 * 3700 + 1000 - 3700
 
 
 def test_long_running_tasks_are_never_late():
@@ -74,7 +76,7 @@
     ],
     ids=["quote", "render", "plan", "reconciler"],
 )
-def test_callers_refused_in_an_outage_return_by_what_their_jobs_can_wait(steps, seconds):
-    """All returned after three seconds; for a quote that was too late in any case."""
+def test_retry_delay_of_callers_refused_in_an_outage_depends_on_the_job(steps, seconds):
+    """Guards against one delay of 3 s for all jobs, which made every quote too late."""
     gate = queue(advice=False)
     assert retry_delay(gate, job(*steps)).total_seconds() == seconds
--- a/tests/poolowner/test_pacing.py
+++ b/tests/poolowner/test_pacing.py
@@ -1,4 +1,4 @@
-"""Filling tasks beside tasks that serve: who is slowed, when, and when not."""
+"""Pace of best-effort tasks that share a worker with latency-sensitive tasks."""
 
 from datetime import timedelta
 
@@ -11,48 +11,48 @@
 
 
 def worker_with(load):
-    shared = session("w0")
-    latency_sensitive = running(shared, LATENCY_SENSITIVE)
+    worker = session("w0")
+    latency_sensitive = running(worker, LATENCY_SENSITIVE)
     latency_sensitive.load = load
-    best_effort = running(shared, BEST_EFFORT)
-    return shared, latency_sensitive, best_effort
+    best_effort = running(worker, BEST_EFFORT)
+    return worker, latency_sensitive, best_effort
 
 
-def paces(pacer, shared, seconds=0.0):
-    changes = pacer.changes([shared], shared.now + timedelta(seconds=seconds))
+def paces(pacer, worker, seconds=0.0):
+    changes = pacer.changes([worker], worker.now + timedelta(seconds=seconds))
     for attempt, percent in changes:
         attempt.pace_percent = percent
     return [percent for _, percent in changes]
 
 
-def test_filling_tasks_are_paused_before_the_target_is_passed():
-    shared, _, _ = worker_with(load=90)
-    assert paces(Pacer(), shared) == [0]
+def test_best_effort_tasks_are_paused_before_the_target_is_exceeded():
+    worker, _, _ = worker_with(load=90)
+    assert paces(Pacer(), worker) == [0]
 
 
-def test_filling_tasks_are_left_alone_far_below_the_target():
-    shared, _, _ = worker_with(load=40)
-    assert paces(Pacer(), shared) == []
+def test_best_effort_tasks_are_not_paced_far_below_the_target():
+    worker, _, _ = worker_with(load=40)
+    assert paces(Pacer(), worker) == []
 
 
-def test_paused_tasks_are_let_go_step_by_step():
+def test_paused_tasks_are_resumed_step_by_step():
     pacer = Pacer()
-    shared, latency_sensitive, _ = worker_with(load=120)
-    assert paces(pacer, shared) == [0]
+    worker, latency_sensitive, _ = worker_with(load=120)
+    assert paces(pacer, worker) == [0]
     latency_sensitive.load = 30
-    assert paces(pacer, shared, 1.0) == []
-    assert [paces(pacer, shared, 3.0 * n) for n in (1, 2, 3, 4)] == [[25], [50], [75], [100]]
+    assert paces(pacer, worker, 1.0) == []
+    assert [paces(pacer, worker, 3.0 * n) for n in (1, 2, 3, 4)] == [[25], [50], [75], [100]]
 
 
 def test_pace_without_answer_is_sent_again():
     pacer = Pacer()
-    shared, _, best_effort = worker_with(load=120)
-    assert paces(pacer, shared) == [0]
+    worker, _, best_effort = worker_with(load=120)
+    assert paces(pacer, worker) == [0]
     best_effort.pace_percent = -1
-    assert paces(pacer, shared) == [0]
+    assert paces(pacer, worker) == [0]
 
 
-def test_worker_without_serving_tasks_runs_filling_tasks_at_full_speed():
-    alone = session("w0")
-    running(alone, BEST_EFFORT)
-    assert paces(Pacer(), alone) == []
+def test_worker_without_latency_sensitive_tasks_runs_best_effort_tasks_at_full_speed():
+    worker = session("w0")
+    running(worker, BEST_EFFORT)
+    assert paces(Pacer(), worker) == []
--- a/tests/poolowner/test_placer.py
+++ b/tests/poolowner/test_placer.py
@@ -1,4 +1,4 @@
-"""In which order steps are placed and who holds room for whom, by load pattern."""
+"""Order of placement, ticket prefetch and preemption by the placer, by load pattern."""
 
 from collections import Counter
 from datetime import timedelta
@@ -15,11 +15,11 @@
 
 
 class Launcher:
-    """Notes what a placer hands over instead of sending it."""
+    """Fake launcher that records the calls of a placer instead of sending anything."""
 
     def __init__(self):
         self.launched = []
-        self.held = []
+        self.reserved = []
         self.asked = []
         self.renewed = []
 
@@ -30,7 +30,7 @@
         self.asked.append(step)
 
     def renew_and_launch(self, step, queue, units, sessions):
-        self.held += units
+        self.reserved += units
 
     def prefetch_tickets(self, step, queue, sessions):
         self.renewed.append(step)
@@ -41,7 +41,7 @@
 
 
 class Owner:
-    """A pool with the given workers; jobs of the queue "gate" need advice."""
+    """Fake owner of a pool with the given workers; jobs of the queue "gate" need advice."""
 
     def __init__(self, sessions):
         self.clock = ManualClock()
@@ -66,14 +66,16 @@
     def submit(self, *steps, name="batch", priority=2, age_s=0.0, **fields):
         """Opens the first steps of a job that was accepted ``age_s`` seconds ago."""
         accepted_ms = self.now_ms() - int(age_s * 1000)
-        made = record(*steps, priority=priority, queue=name, accepted_ms=accepted_ms, **fields)
-        job = Job(made)
+        job_record = record(
+            *steps, priority=priority, queue=name, accepted_ms=accepted_ms, **fields
+        )
+        job = Job(job_record)
         job.open_occurrence(0)
         self.placer.add(job.ready_steps())
         return job.steps_by_occurrence[0][0]
 
     def grant(self, step, *workers):
-        """Notes an answer of the advice service that names these of all workers."""
+        """Adds an answer of the advice service that grants these of all workers."""
         advice = Advice(dict.fromkeys(workers, "ticket"), VALIDITY)
         step.grants.add(list(self.session_by_worker), advice, self.clock.boot_time())
 
@@ -82,30 +84,33 @@
     return [a.session.worker for unit in step.units for a in unit.attempts()]
 
 
-WHOLE = StepSpec(1, 1000, 100, 4, estimate_ms=5000)
+WHOLE_WORKER = StepSpec(1, 1000, 100, 4, estimate_ms=5000)
 
 
-def test_renders_that_no_worker_may_run_do_not_keep_others_from_being_next():
-    """Three such renders held all turns for tickets ahead; each later one waited for advice with
-    its worker standing idle, and the design room fell 20 s behind (hcjs-ramp scale-2)."""
+def test_steps_that_no_worker_may_run_do_not_use_up_the_prefetch_limit():
+    """Guards against steps without a possible worker using up the prefetch limit.
+
+    Three such steps took all of it. Each later step then waited for advice while its worker was
+    idle, and the queue fell 20 s behind.
+    """
     owner = Owner([session("w0"), session("w1")])
     for worker in ("w0", "w1"):
-        running(owner.session_by_worker[worker], WHOLE, priority=1)
+        running(owner.session_by_worker[worker], WHOLE_WORKER, priority=1)
     for _ in range(4):
-        owner.grant(owner.submit(WHOLE, name="gate", age_s=5.0))
+        owner.grant(owner.submit(WHOLE_WORKER, name="gate", age_s=5.0))
     gang = owner.submit(StepSpec(2, 1000, 100, 4, gang=True), name="gate", age_s=4.0)
     owner.grant(gang, "w0")
-    possible = owner.submit(WHOLE, name="gate", age_s=1.0)
-    owner.grant(possible, "w0")
+    feasible = owner.submit(WHOLE_WORKER, name="gate", age_s=1.0)
+    owner.grant(feasible, "w0")
     owner.placer.schedule()
-    assert possible in owner.launcher.renewed
+    assert feasible in owner.launcher.renewed
 
 
-def test_after_an_outage_those_that_can_still_be_in_time_come_before_the_late():
-    """Served in order of acceptance, each render behind the backlog of an outage of five seconds
-    came late for another twenty (hcjs-ramp scale-2)."""
+def test_after_an_outage_steps_that_can_be_on_time_are_placed_before_late_ones():
+    """Guards against placement in order of acceptance: after an outage of 5 s, every job behind the
+    backlog was late for another 20 s."""
     owner = Owner([session("w0")])
-    too_late, late, on_time = (owner.submit(WHOLE, age_s=age) for age in (60.0, 20.0, 1.0))
+    too_late, late, on_time = (owner.submit(WHOLE_WORKER, age_s=age) for age in (60.0, 20.0, 1.0))
     placed = []
     for _ in range(3):
         owner.placer.schedule()
@@ -116,36 +121,37 @@
     assert placed == [on_time, late, too_late]
 
 
-def test_what_comes_too_late_does_not_go_before_less_urgent_work_that_is_in_time():
+def test_step_that_is_too_late_is_placed_after_less_urgent_work_that_is_on_time():
     owner = Owner([session("w0")])
-    quote = owner.submit(WHOLE, priority=0, age_s=60.0)
-    batch = owner.submit(WHOLE, priority=2, age_s=1.0)
+    quote = owner.submit(WHOLE_WORKER, priority=0, age_s=60.0)
+    batch = owner.submit(WHOLE_WORKER, priority=2, age_s=1.0)
     owner.placer.schedule()
     assert (placed_on(quote), placed_on(batch)) == ([], ["w0"])
 
 
-def test_nothing_is_stopped_for_what_comes_too_late():
+def test_nothing_is_preempted_for_a_step_that_is_too_late():
     owner = Owner([session("w0")])
     resumable = StepSpec(1, 1000, 100, 4, checkpointing=True)
     victim = running(owner.session_by_worker["w0"], resumable, priority=2)
-    owner.submit(WHOLE, priority=0, age_s=60.0)
+    owner.submit(WHOLE_WORKER, priority=0, age_s=60.0)
     owner.placer.schedule()
     assert not victim.stop_wanted
 
 
-def test_pass_over_a_long_queue_on_full_workers_looks_at_no_worker_for_each_step():
-    """A pass with 100 waiting steps took 20 ms at 128 workers, as each step went through all."""
+def test_pass_over_a_long_queue_does_not_check_every_full_worker_for_each_step():
+    """Guards against a pass in which each step checks all workers: it took 20 ms with 100 waiting
+    steps and 128 workers."""
     sessions = [session(f"w{number}") for number in range(60)]
-    looks = Counter()
+    calls = Counter()
     for full in sessions:
-        running(full, WHOLE, priority=0)
-        full.free = lambda free=full.free: looks.update(["free"]) or free()
+        running(full, WHOLE_WORKER, priority=0)
+        full.free = lambda free=full.free: calls.update(["free"]) or free()
     owner = Owner(sessions)
     for number in range(100):
-        step = owner.submit(WHOLE, name="gate", age_s=1.0)
+        step = owner.submit(WHOLE_WORKER, name="gate", age_s=1.0)
         owner.grant(step, *(f"w{(number + k) % 60}" for k in range(5)))
     owner.placer.schedule()
-    looks.clear()
+    calls.clear()
     owner.placer.schedule()
-    # Each worker once, and the granted ones of each step.
-    assert looks["free"] <= 60 + 100 * 5
+    # Each worker is checked once, and the granted workers once for each step.
+    assert calls["free"] <= 60 + 100 * 5
