--- a/hornbeamramp/poolowner/health.py
+++ b/hornbeamramp/poolowner/health.py
@@ -32,13 +32,13 @@
         self._next_quarantine_by_worker: dict[UpstreamId, timedelta] = {}
         self._quarantined_until: dict[UpstreamId, timedelta] = {}
 
-    def record_end(self, attempt: Attempt, how: HowEnded, now: timedelta) -> None:
-        """Records how a run ended. Only successes and failures count for or against the worker."""
+    def record_end(self, attempt: Attempt, outcome: HowEnded, now: timedelta) -> None:
+        """Records the end of a run. Only successes and failures count for or against the worker."""
         worker = UpstreamId(attempt.session.worker)
-        if how is HowEnded.DONE:
+        if outcome is HowEnded.DONE:
             self._failed_jobs_by_worker.pop(worker, None)
             self._next_quarantine_by_worker.pop(worker, None)
-        elif how is HowEnded.FAILED:
+        elif outcome is HowEnded.FAILED:
             jobs = self._failed_jobs_by_worker.setdefault(worker, set())
             jobs.add(attempt.task.unit.step.key.job_id)
             if len(jobs) >= QUARANTINE_FAILED_JOBS:
--- a/hornbeamramp/poolowner/jobs.py
+++ b/hornbeamramp/poolowner/jobs.py
@@ -197,7 +197,7 @@
                 )
 
     def restore(self, progress: JobProgress) -> list[tuple[Task, OpenTask]]:
-        """Applies a progress record; returns the tasks that may be running, with their rows."""
+        """Applies a progress record; returns the tasks that may be running, with their records."""
         self.phase = self.recorded_phase = progress.phase
         if self.is_ended:
             self.ended_ms = progress.ended_ms
@@ -207,20 +207,22 @@
             self.open_occurrence(occurrence)
             for index in indices:
                 self.steps_by_occurrence[occurrence][number].task(index).is_done = True
-        for row in progress.grants:
-            self.open_occurrence(row.occurrence)
-            grants = self.steps_by_occurrence[row.occurrence][row.step].grants
+        for step_grants in progress.grants:
+            self.open_occurrence(step_grants.occurrence)
+            grants = self.steps_by_occurrence[step_grants.occurrence][step_grants.step].grants
             grants.is_recorded = True
-            grants.asked.update(row.asked)
-            grants.granted.update(row.granted)
+            grants.asked.update(step_grants.asked)
+            grants.granted.update(step_grants.granted)
         placed = []
-        for row in progress.open_tasks:
-            self.open_occurrence(row.occurrence)
-            task = self.steps_by_occurrence[row.occurrence][row.step].task(row.index)
+        for open_task in progress.open_tasks:
+            self.open_occurrence(open_task.occurrence)
+            task = self.steps_by_occurrence[open_task.occurrence][open_task.step].task(
+                open_task.index
+            )
             unit = task.unit
-            unit.run = max(unit.run, row.run)
-            unit.failures = max(unit.failures, row.failures)
-            unit.checkpoint = row.checkpoint or unit.checkpoint
-            if row.worker:
-                placed.append((task, row))
+            unit.run = max(unit.run, open_task.run)
+            unit.failures = max(unit.failures, open_task.failures)
+            unit.checkpoint = open_task.checkpoint or unit.checkpoint
+            if open_task.worker:
+                placed.append((task, open_task))
         return placed
--- a/hornbeamramp/poolowner/lateness.py
+++ b/hornbeamramp/poolowner/lateness.py
@@ -23,8 +23,6 @@
 TOO_LATE_FACTOR = 3.0
 # Workers in the one advice request that the users' rule includes in the time of each step.
 WORKERS_PER_ADVICE_REQUEST = 30
-
-
 # Share of the on-time limit after which a refused caller should retry: late enough that an outage
 # is over at one of its attempts, and early enough for the job still to be useful.
 RETRY_SHARE = 0.25
--- a/hornbeamramp/poolowner/launch.py
+++ b/hornbeamramp/poolowner/launch.py
@@ -31,11 +31,12 @@
 
 # The platform's time limit for a job allows for one advice request about 30 workers per step.
 MAX_WORKERS_PER_ADVICE_REQUEST = 30
-# Answers to advice requests that cost at least this are recorded, so that a successor does not
-# repeat them. For cheaper ones, the write costs more than another request.
-MIN_RECORDED_COST = timedelta(milliseconds=50)
-# Added to the arrival time by which advice requests are ordered, if no free capacity depends on the
-# answer, and if the job is too late for its caller. Costly requests take about half a second.
+# Answers to advice requests that take at least this are recorded, so that a successor does not
+# repeat them. For shorter ones, the write costs more than another request.
+MIN_RECORDED_DURATION = timedelta(milliseconds=50)
+# Advice requests are ordered by arrival time plus deferral. The first applies if no free capacity
+# depends on the answer, the second if the job is too late for its caller. Slow requests take about
+# half a second.
 PREFETCH_DEFERRAL = timedelta(milliseconds=500)
 TOO_LATE_DEFERRAL = timedelta(seconds=2)
 # Delay after an advice request that got no answer.
@@ -95,8 +96,8 @@
         """Renews the tickets of a step that waits for capacity, if all of them expire before an
         answer would arrive."""
         assert queue.advice is not None
-        cost = queue.advice.base + len(sessions) * queue.advice.per_worker
-        answer_expected_at = self._clock.boot_time() + cost
+        duration = queue.advice.base + len(sessions) * queue.advice.per_worker
+        answer_expected_at = self._clock.boot_time() + duration
         if any(step.grants.has_ticket(UpstreamId(s.worker), answer_expected_at) for s in sessions):
             return
         self.renew_and_launch(step, queue, [], sessions)
@@ -142,7 +143,7 @@
         received_at = self._clock.boot_time()
         asked_before = len(step.grants.asked)
         step.grants.add(worker_ids, advice, received_at)
-        if queue.advice.base >= MIN_RECORDED_COST and len(step.grants.asked) > asked_before:
+        if queue.advice.base >= MIN_RECORDED_DURATION and len(step.grants.asked) > asked_before:
             step.grants.is_recorded = True
             self._journal.mark_dirty(step.job)
         elapsed = received_at - asked_at
@@ -269,7 +270,7 @@
 
 
 def _deferral(step: StepRun, has_capacity: bool) -> timedelta:
-    """Returns the time to add to the arrival time by which an advice request is ordered."""
+    """Returns the deferral of an advice request, which is ordered by arrival time plus deferral."""
     if step.lateness.level is LatenessLevel.TOO_LATE:
         return TOO_LATE_DEFERRAL
     return timedelta(0) if has_capacity else PREFETCH_DEFERRAL
--- a/hornbeamramp/poolowner/lifecycle.py
+++ b/hornbeamramp/poolowner/lifecycle.py
@@ -52,34 +52,34 @@
             wait_s = (self._owner.now_ms() - job.record.accepted_ms) / 1000
             instruments.first_start_time.record(wait_s, {"queue": job.record.queue})
 
-    def apply_end(self, attempt: Attempt, how: HowEnded, checkpoint: str) -> None:
+    def apply_end(self, attempt: Attempt, outcome: HowEnded, checkpoint: str) -> None:
         """Applies the end of a run: completes or requeues its unit, and ends the job if due."""
         task: Task = attempt.task
         unit = task.unit
         job = unit.step.job
         task.attempt = None
         self._owner.wake()
-        instruments.run_ends.add(1, {"how": how.value})
-        self._placer.record_end(attempt, how)
+        instruments.run_ends.add(1, {"how": outcome.value})
+        self._placer.record_end(attempt, outcome)
         if job.is_ended:
             return
         if checkpoint:
             unit.checkpoint = checkpoint
-        if how is HowEnded.DONE and not unit.step.spec.long_running:
+        if outcome is HowEnded.DONE and not unit.step.spec.long_running:
             # All members of a gang end together, so the end of one completes all.
             for member in unit.tasks:
                 member.is_done = True
-        elif how is HowEnded.FAILED:
+        elif outcome is HowEnded.FAILED:
             _count_failure(unit, attempt)
-        elif how in (HowEnded.LAPSED, HowEnded.LOST):
+        elif outcome in (HowEnded.LAPSED, HowEnded.LOST):
             unit.avoided_workers.add(UpstreamId(attempt.session.worker))
-        if how is not HowEnded.DONE:
+        if outcome is not HowEnded.DONE:
             _log.info(
                 "{} run {} on {} ended {} at {}%, failures {}",
                 task.name,
                 attempt.run,
                 attempt.session.worker,
-                how.value,
+                outcome.value,
                 attempt.percent,
                 unit.failures,
             )
--- a/hornbeamramp/poolowner/owner.py
+++ b/hornbeamramp/poolowner/owner.py
@@ -257,8 +257,8 @@
             # Workers keep reporting these ends, so the next owner records them.
             raise TimeoutError(str(error)) from error
 
-    def on_ended(self, attempt: Attempt, how: HowEnded, checkpoint: str) -> None:
-        self.lifecycle.apply_end(attempt, how, checkpoint)
+    def on_ended(self, attempt: Attempt, outcome: HowEnded, checkpoint: str) -> None:
+        self.lifecycle.apply_end(attempt, outcome, checkpoint)
 
     # Requests of callers
 
@@ -269,8 +269,10 @@
         """
         if job_id in self.job_by_id:
             return None
-        failing = self._claim.failing_since
-        is_store_down = failing is not None and self._clock.boot_time() - failing > MAX_STORE_OUTAGE
+        failing_since = self._claim.failing_since
+        is_store_down = (
+            failing_since is not None and self._clock.boot_time() - failing_since > MAX_STORE_OUTAGE
+        )
         # While an earlier call for this id is pending, its record may still be written, and a
         # refusal could turn out wrong.
         if is_store_down and not self._journal.is_inserting(job_id):
--- a/hornbeamramp/poolowner/pacing.py
+++ b/hornbeamramp/poolowner/pacing.py
@@ -54,12 +54,12 @@
         )
         is_due = now - self._changed_at.get(worker, timedelta.min) >= RESUME_INTERVAL
         if highest_share >= PAUSE_SHARE:
-            self._set(worker, 0, now)
+            self._set_percent(worker, 0, now)
         elif highest_share <= RESUME_SHARE and percent < FULL_PERCENT and is_due:
-            self._set(worker, min(percent + RESUME_STEP_PERCENT, FULL_PERCENT), now)
+            self._set_percent(worker, min(percent + RESUME_STEP_PERCENT, FULL_PERCENT), now)
         return self._percent_by_worker.get(worker, FULL_PERCENT)
 
-    def _set(self, worker: str, percent: int, now: timedelta) -> None:
+    def _set_percent(self, worker: str, percent: int, now: timedelta) -> None:
         self._percent_by_worker[worker] = percent
         self._changed_at[worker] = now
 
--- a/hornbeamramp/poolowner/placer.py
+++ b/hornbeamramp/poolowner/placer.py
@@ -74,15 +74,15 @@
         if unit.step not in self._open_steps:
             self._open_steps.append(unit.step)
 
-    def record_end(self, attempt: Attempt, how: HowEnded) -> None:
+    def record_end(self, attempt: Attempt, outcome: HowEnded) -> None:
         """Updates the health and speed of the worker on which a run ended."""
         now = self._clock.boot_time()
         worker = UpstreamId(attempt.session.worker)
         was_quarantined = self.health.is_quarantined(worker, now)
-        self.health.record_end(attempt, how, now)
+        self.health.record_end(attempt, outcome, now)
         if self.health.is_quarantined(worker, now) and not was_quarantined:
             _log.warning("worker {} quarantined: tasks of several jobs failed in a row", worker)
-        if how is HowEnded.DONE and attempt.started_at is not None and not attempt.resumed:
+        if outcome is HowEnded.DONE and attempt.started_at is not None and not attempt.resumed:
             self.speeds.record_run(attempt, (now - attempt.started_at).total_seconds(), 1.0)
 
     def forget(self, worker: UpstreamId) -> None:
@@ -218,8 +218,8 @@
         if is_recent or step.lateness.level is LatenessLevel.TOO_LATE:
             return
         step.preemption_checked_at = now
-        wanted = sum(len(unit.tasks) for unit in step.waiting)
-        missing = min(wanted, MAX_TASKS_PER_PREEMPTION) - expected_slots(step, sessions)
+        waiting_tasks = sum(len(unit.tasks) for unit in step.waiting)
+        missing = min(waiting_tasks, MAX_TASKS_PER_PREEMPTION) - expected_slots(step, sessions)
         if missing <= 0:
             return
         for victim in choose_victims(step, missing, sessions, now):
--- a/hornbeamramp/poolowner/preemption.py
+++ b/hornbeamramp/poolowner/preemption.py
@@ -16,14 +16,14 @@
 
 
 def _is_preemptible(attempt: Attempt, step: StepRun, now: timedelta) -> bool:
-    other = attempt.task.unit.step
+    victim_step = attempt.task.unit.step
     return (
         attempt.phase is AttemptPhase.RUNNING
         and not attempt.stop_wanted
-        and other.spec.checkpointing
-        and not other.spec.long_running
-        and not other.spec.gang
-        and other.job.record.priority > step.job.record.priority
+        and victim_step.spec.checkpointing
+        and not victim_step.spec.long_running
+        and not victim_step.spec.gang
+        and victim_step.job.record.priority > step.job.record.priority
         and attempt.started_at is not None
         and now - attempt.started_at > MIN_RUN_TIME
         and attempt.percent < MAX_VICTIM_PERCENT
--- a/tests/poolowner/test_health.py
+++ b/tests/poolowner/test_health.py
@@ -11,9 +11,9 @@
 SMALL = StepSpec(1, 1000, 100)
 
 
-def end_runs(health, worker, how, jobs, now=SECOND):
+def end_runs(health, worker, outcome, jobs, now=SECOND):
     for _ in range(jobs):
-        health.record_end(running(worker, SMALL), how, now)
+        health.record_end(running(worker, SMALL), outcome, now)
 
 
 def test_worker_that_fails_the_tasks_of_several_jobs_is_quarantined_and_used_again():
