--- a/hornbeamramp/poolowner/owner.py
+++ b/hornbeamramp/poolowner/owner.py
@@ -269,9 +269,9 @@
         """
         if job_id in self.job_by_id:
             return None
-        failing_since = self._claim.failing_since
+        outage_since = self._claim.failing_since
         is_store_down = (
-            failing_since is not None and self._clock.boot_time() - failing_since > MAX_STORE_OUTAGE
+            outage_since is not None and self._clock.boot_time() - outage_since > MAX_STORE_OUTAGE
         )
         # While an earlier call for this id is pending, its record may still be written, and a
         # refusal could turn out wrong.
--- a/tests/poolowner/test_health.py
+++ b/tests/poolowner/test_health.py
@@ -63,6 +63,6 @@
 
 def test_long_running_task_without_progress_is_not_stalled():
     worker = session("w0")
-    long_running = running(worker, StepSpec(1, 1000, 100, long_running=True))
-    long_running.progress_at = worker.now - 9 * SECOND
+    attempt = running(worker, StepSpec(1, 1000, 100, long_running=True))
+    attempt.progress_at = worker.now - 9 * SECOND
     assert stalled_attempts([worker], worker.now) == []
