--- a/hornbeamramp/platform/callers.py
+++ b/hornbeamramp/platform/callers.py
@@ -14,7 +14,7 @@
 from hornbeamramp.platform.decoding import decode_job
 from hornbeamramp.telemetry import prometheus_text
 from hornbeamramp.vm import CallerService, CancelResult, Node, UnavailableError
-from hornbeamramp.workload import Target
+from hornbeamramp.workload import RouteMatch
 
 __all__ = ["CallerServer"]
 
@@ -111,9 +111,9 @@
             return _json(404, {"error": "no such queue"})
         timeout = _caller_timeout(request)
         try:
-            if request.method == "GET" and not target.rest:
+            if request.method == "GET" and not target.path_suffix:
                 return _json(200, {"pending": await self._service.pending(target.queue, timeout)})
-            if not JOB_ID.fullmatch(target.rest):
+            if not JOB_ID.fullmatch(target.path_suffix):
                 return _json(404, {"error": "the job id must be 16 hexadecimal digits"})
             return await self._handle_job(request, target, timeout)
         except UnavailableError as error:
@@ -123,9 +123,9 @@
             return _unavailable(str(error), timedelta(seconds=1))
 
     async def _handle_job(
-        self, request: web.BaseRequest, target: Target, timeout: timedelta
+        self, request: web.BaseRequest, target: RouteMatch, timeout: timedelta
     ) -> web.StreamResponse:
-        job_id = JobId(target.rest)
+        job_id = JobId(target.path_suffix)
         if request.method == "POST":
             return await self._submit(request, target, job_id, timeout)
         if request.method == "GET":
@@ -139,7 +139,7 @@
         return _json(405, {"error": f"method {request.method} is not known"})
 
     async def _submit(
-        self, request: web.BaseRequest, target: Target, job_id: JobId, timeout: timedelta
+        self, request: web.BaseRequest, target: RouteMatch, job_id: JobId, timeout: timedelta
     ) -> web.StreamResponse:
         job = decode_job(await request.read())
         if isinstance(job, Err):
--- a/hornbeamramp/platform/decoding.py
+++ b/hornbeamramp/platform/decoding.py
@@ -10,7 +10,7 @@
 from hornbeamramp.resources import Resources
 from hornbeamramp.statestore import Item
 from hornbeamramp.workload import (
-    AdviceTerms,
+    AdviceTiming,
     ClusterConfig,
     JobSpec,
     Pool,
@@ -177,7 +177,7 @@
         advice=(
             None
             if timing is None
-            else AdviceTerms(
+            else AdviceTiming(
                 _milliseconds(timing.decide_ms),
                 _milliseconds(timing.each_ms),
                 _milliseconds(timing.valid_ms),
--- a/hornbeamramp/poolowner/health.py
+++ b/hornbeamramp/poolowner/health.py
@@ -1,7 +1,7 @@
-"""Finds workers that fail all they start or on which tasks stand still, from what ends and when.
+"""Quarantines workers on which tasks of several jobs fail in a row or a task stalls.
 
-Tasks that fail by themselves fail on every worker, so only failures of several jobs in a row count
-against a worker. A worker that is set aside is tried again after a while.
+Tasks with a fault of their own fail on every worker, so only failures of several jobs in a row
+count against a worker. A quarantined worker is used again after a limited time.
 """
 
 from collections.abc import Iterable
@@ -10,63 +10,71 @@
 from hornbeamramp.fleet import Attempt, AttemptPhase, RunOutcome, WorkerSession
 from hornbeamramp.ids import JobId, UpstreamId
 
-__all__ = ["WorkerHealth", "stalled"]
+__all__ = ["WorkerHealth", "stalled_attempts"]
 
-# Failures of this many jobs in a row, without a success between, set a worker aside. One task in
-# twenty fails by itself, so three in a row are a matter of one in some thousand.
-FAILING_JOBS = 3
-# Time for which a worker is set aside at first and at most; doubled while it goes on failing.
-SHORTEST_PAUSE = timedelta(seconds=2)
-LONGEST_PAUSE = timedelta(seconds=8)
-# A task without progress for this long stands still. Lists come every two seconds at least, and a
-# task ten times longer than usual (about a minute) still shows a percent a second.
-STALL_TIME = timedelta(seconds=3)
+# Number of jobs whose tasks have to fail on a worker, without a success in between, before it is
+# quarantined. One task in twenty fails for reasons of its own, so three in a row happen by chance
+# about once in several thousand.
+QUARANTINE_FAILED_JOBS = 3
+# First and longest duration of a quarantine, which doubles while the worker goes on failing.
+MIN_QUARANTINE = timedelta(seconds=2)
+MAX_QUARANTINE = timedelta(seconds=8)
+# A task without progress for this long has stalled. Lists arrive at least every 2 s, and even a
+# task ten times longer than usual (about a minute) gains at least 1% a second.
+STALL_TIMEOUT = timedelta(seconds=3)
 
 
 class WorkerHealth:
-    """What recent ends say of each worker."""
+    """Recent failures and quarantines of workers."""
 
     def __init__(self) -> None:
-        self._failing_jobs: dict[UpstreamId, set[JobId]] = {}
-        self._pause_by_worker: dict[UpstreamId, timedelta] = {}
-        self._aside_until: dict[UpstreamId, timedelta] = {}
+        self._failed_jobs_by_worker: dict[UpstreamId, set[JobId]] = {}
+        self._next_quarantine_by_worker: dict[UpstreamId, timedelta] = {}
+        self._quarantined_until: dict[UpstreamId, timedelta] = {}
 
-    def note_end(self, attempt: Attempt, how: RunOutcome, now: timedelta) -> None:
-        """Notes how a run ended; only successes and failures say something of the worker."""
+    def record_end(self, attempt: Attempt, outcome: RunOutcome, now: timedelta) -> None:
+        """Records the end of a run. Only successes and failures count for or against the worker."""
         worker = UpstreamId(attempt.session.worker)
-        if how is RunOutcome.DONE:
-            self._failing_jobs.pop(worker, None)
-            self._pause_by_worker.pop(worker, None)
-        elif how is RunOutcome.FAILED:
-            jobs = self._failing_jobs.setdefault(worker, set())
+        if outcome is RunOutcome.DONE:
+            self._failed_jobs_by_worker.pop(worker, None)
+            self._next_quarantine_by_worker.pop(worker, None)
+        elif outcome is RunOutcome.FAILED:
+            jobs = self._failed_jobs_by_worker.setdefault(worker, set())
             jobs.add(attempt.task.unit.step.key.job_id)
-            if len(jobs) >= FAILING_JOBS:
-                self._set_aside(worker, now)
+            if len(jobs) >= QUARANTINE_FAILED_JOBS:
+                self._quarantine(worker, now)
 
-    def note_stall(self, attempt: Attempt, now: timedelta) -> None:
-        """Notes a task that stands still."""
-        self._set_aside(UpstreamId(attempt.session.worker), now)
+    def record_stall(self, attempt: Attempt, now: timedelta) -> None:
+        """Quarantines the worker of a stalled run."""
+        self._quarantine(UpstreamId(attempt.session.worker), now)
 
-    def _set_aside(self, worker: UpstreamId, now: timedelta) -> None:
-        if self.is_aside(worker, now):
+    def _quarantine(self, worker: UpstreamId, now: timedelta) -> None:
+        if self.is_quarantined(worker, now):
             return
-        pause = self._pause_by_worker.get(worker, SHORTEST_PAUSE)
-        self._aside_until[worker] = now + pause
-        self._pause_by_worker[worker] = min(2 * pause, LONGEST_PAUSE)
+        duration = self._next_quarantine_by_worker.get(worker, MIN_QUARANTINE)
+        self._quarantined_until[worker] = now + duration
+        self._next_quarantine_by_worker[worker] = min(2 * duration, MAX_QUARANTINE)
 
-    def is_aside(self, worker: UpstreamId, now: timedelta) -> bool:
-        """Tells whether a worker gets no new tasks now."""
-        until = self._aside_until.get(worker)
+    def is_quarantined(self, worker: UpstreamId, now: timedelta) -> bool:
+        """Returns whether a worker must not get new tasks now."""
+        until = self._quarantined_until.get(worker)
         return until is not None and now < until
 
     def forget(self, worker: UpstreamId) -> None:
-        """Drops what is known of a worker that has left."""
-        for by_worker in (self._failing_jobs, self._pause_by_worker, self._aside_until):
+        """Drops the failures and the quarantine of a worker that has left."""
+        for by_worker in (
+            self._failed_jobs_by_worker,
+            self._next_quarantine_by_worker,
+            self._quarantined_until,
+        ):
             by_worker.pop(worker, None)
 
 
-def stalled(sessions: Iterable[WorkerSession], now: timedelta) -> list[Attempt]:
-    """Returns the runs that have made no progress for too long, on workers that answer."""
+def stalled_attempts(sessions: Iterable[WorkerSession], now: timedelta) -> list[Attempt]:
+    """Returns the runs on reachable workers that have made no progress for `STALL_TIMEOUT`.
+
+    Long-running and best-effort tasks are left out.
+    """
     return [
         attempt
         for session in sessions
@@ -77,5 +85,5 @@
         and not attempt.task.unit.step.spec.long_running
         and not attempt.task.unit.step.spec.fills
         and attempt.progress_at is not None
-        and now - attempt.progress_at > STALL_TIME
+        and now - attempt.progress_at > STALL_TIMEOUT
     ]
--- a/hornbeamramp/poolowner/owner.py
+++ b/hornbeamramp/poolowner/owner.py
@@ -1,8 +1,9 @@
-"""Owner of a pool. Accepts jobs, decides which task starts where, and makes each end final.
+"""Owner of a pool: accepts jobs, places their tasks on workers and records the ends of runs.
 
-The way of a job: `PoolOwner.accept` records it; `Placer.schedule` chooses workers once a step's
-predecessors are done; `Launcher.launch` records the placement and orders the start;
-`JobLifecycle.apply_end` applies what the worker lists, and `JobLifecycle.finish` ends the job.
+Life cycle of a job: `PoolOwner.accept` records it; `Placer.schedule` chooses workers once a step's
+predecessors are done; `Launcher.launch` records the placement and sends the start order;
+`JobLifecycle.apply_end` applies the ends of runs that workers report, and `JobLifecycle.finish`
+ends the job.
 """
 
 import asyncio
@@ -31,11 +32,11 @@
 from hornbeamramp.poolowner.checks import RunChecks
 from hornbeamramp.poolowner.jobs import Job
 from hornbeamramp.poolowner.journal import Journal
+from hornbeamramp.poolowner.lateness import retry_delay
 from hornbeamramp.poolowner.launch import Launcher
 from hornbeamramp.poolowner.lifecycle import JobLifecycle
-from hornbeamramp.poolowner.outlook import return_after
 from hornbeamramp.poolowner.placer import Placer
-from hornbeamramp.poolowner.recovery import ghost_listing, read_jobs
+from hornbeamramp.poolowner.recovery import placeholder_listing, read_jobs
 from hornbeamramp.statestore import (
     ClaimLostError,
     JobProgress,
@@ -47,39 +48,44 @@
 
 __all__ = ["OwnerContext", "PoolOwner", "Refusal"]
 
-# Time for which an owner goes on extending leases after its claim's last proof. With the leases of
-# 6 s themselves, store outages of up to ten seconds cost no running task.
-EXTENSION_WITHOUT_CLAIM = timedelta(seconds=3)
-# Longest lease that a former owner can have given to a worker this owner doesn't reach: its
-# extension, the lease of 6 s on a clock that is 2% slow, and a second for calls on their way.
-UNSEEN_LEASE = EXTENSION_WITHOUT_CLAIM + timedelta(seconds=7.2)
-# Period of the checks that no event triggers: due times, lapsed tickets, retention.
-TICK = timedelta(milliseconds=200)
-# Least time between two passes of the placer. Ends and jobs come in groups, with the answers of
-# hold calls and commits.
-SHORTEST_GAP = timedelta(milliseconds=2)
-# A job whose commit waits for longer than this is refused at once: the store doesn't answer.
-STORE_PATIENCE = timedelta(milliseconds=600)
-# Kept beyond the time for which callers may ask for the state of an ended job.
+# Time for which an owner goes on extending worker leases after its claim is no longer guaranteed to
+# be valid. Together with the 6 s leases, it lets running tasks survive store outages of up to 10 s.
+LEASE_EXTENSION_GRACE = timedelta(seconds=3)
+# Upper bound on the lease that a former owner can have given to a worker this owner can't reach:
+# the grace period, the lease of 6 s on a clock that is 2% slow, and a second for calls in flight.
+MAX_FORMER_OWNER_LEASE = LEASE_EXTENSION_GRACE + timedelta(seconds=7.2)
+# Interval of the checks that no event triggers: due occurrences, expired tickets, retention and
+# stalled runs.
+CHECK_INTERVAL = timedelta(milliseconds=200)
+# Minimum time between two scheduling passes. Ends and new jobs arrive in groups, with the replies
+# of hold calls and commits, and one pass handles the whole group.
+MIN_SCHEDULING_INTERVAL = timedelta(milliseconds=2)
+# New jobs are refused at once when commits have been failing for longer than this.
+MAX_STORE_OUTAGE = timedelta(milliseconds=600)
+# Added to the time for which callers may query the state of an ended job.
 RETENTION_MARGIN = timedelta(seconds=30)
 
 _log = logbook.Logger("owner")
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why a job was refused; it has not run and never will. ``retry_after`` is for its caller."""
+    """Why a job was refused; none of its tasks has run or will run.
+
+    `retry_after`
+        Delay after which the caller should submit the job again.
+    """
 
     reason: str
     retry_after: timedelta
 
 
 class OwnerContext(msgspec.Struct, frozen=True):
-    """What an owner is given by its process.
+    """Dependencies and settings that the process passes to its pool owners.
 
     `job_retention`
-        Time for which the state of an ended job may be asked for.
+        Time for which callers may query the state of an ended job.
     `longest_lease`
-        Longest lease that a worker gives its runs.
+        Longest lease that a worker grants to its runs.
     """
 
     store: StateStore
@@ -91,14 +97,14 @@
 
 
 class PoolOwner:
-    """Decides for one pool while its claim holds.
+    """Schedules the jobs of one pool while it holds the pool's claim.
 
     `pool`
         The pool.
     `claim`
         An acquired claim.
-    `claim_guard`
-        Gives the boot time until which the claim certainly holds.
+    `claim_valid_until`
+        Returns the boot time until which the claim is guaranteed to be valid.
     """
 
     def __init__(
@@ -106,7 +112,7 @@
         pool: PoolName,
         claim: PoolClaim,
         context: OwnerContext,
-        claim_guard: Callable[[], timedelta],
+        claim_valid_until: Callable[[], timedelta],
     ) -> None:
         self.pool = pool
         self.token = claim.token
@@ -117,7 +123,7 @@
         self._workers = context.workers
         self._retention = context.job_retention + RETENTION_MARGIN
         self._longest_lease = context.longest_lease
-        self._guard = claim_guard
+        self._claim_valid_until = claim_valid_until
         self._background = BackgroundTasks(f"pool {pool}", _log)
         self._journal = Journal(pool, claim, context.store, context.clock, self._on_recorded)
         self._launcher = Launcher(self, context.advice, context.clock, self._journal)
@@ -131,25 +137,27 @@
         self.is_ready = False
         self.is_lost = asyncio.Event()
 
-    # Life
+    # Start and shutdown
 
     async def start(
         self, load_listings: Callable[[], Awaitable[dict[UpstreamId, WorkerListing]]]
     ) -> None:
-        """Reads the records, fences the workers and begins to place. Raises
-        `StoreUnavailableError` if the store can't be read."""
+        """Reads the records, opens sessions that fence the workers, and starts scheduling.
+
+        Raises `StoreUnavailableError` if the store can't be read.
+        """
         records, listings = await asyncio.gather(read_jobs(self._store, self.pool), load_listings())
         for record, progress in records:
             job = Job(record)
             self.job_by_id[record.job_id] = job
             self._restore(job, progress, listings)
         self.set_workers(listings)
-        self.spawn(self._keep_journal())
-        self.spawn(self._keep_schedule())
+        self.spawn(self._run_journal())
+        self.spawn(self._run_scheduler())
         self.is_ready = True
         instruments.takeovers.add(1, {"pool": self.pool})
         _log.info(
-            "{}: owner with token {}, {} jobs recorded, {} workers listed",
+            "{}: took ownership with fencing token {}: {} jobs recorded, {} workers listed",
             self.pool,
             self.token,
             len(self.job_by_id),
@@ -159,70 +167,74 @@
     def _restore(
         self, job: Job, progress: JobProgress, listings: dict[UpstreamId, WorkerListing]
     ) -> None:
-        for task, row in job.restore(progress):
-            session = self.session_by_worker.get(row.worker)
+        for task, open_task in job.restore(progress):
+            session = self.session_by_worker.get(open_task.worker)
             if session is None:
-                session = self._open_session(listings.get(row.worker) or ghost_listing(row.worker))
-            attempt = Attempt(task, task.name, row.run, task.unit.step.size, session)
+                session = self._open_session(
+                    listings.get(open_task.worker) or placeholder_listing(open_task.worker)
+                )
+            attempt = Attempt(task, task.name, open_task.run, task.unit.step.size, session)
             attempt.phase = AttemptPhase.UNCERTAIN
-            attempt.checkpoint = row.checkpoint
+            attempt.checkpoint = open_task.checkpoint
             session.reserve(attempt)
             task.attempt = attempt
         self.lifecycle.open_due(job)
 
     def spawn(self, coroutine: Coroutine[Any, Any, Any]) -> None:
-        """Runs a coroutine until the pool is given up."""
+        """Runs a coroutine in the background; it is cancelled when the pool is released."""
         self._background.spawn(coroutine)
 
     async def release(self) -> None:
-        """Gives the pool up in good order: nothing more starts, and what was ordered is recorded.
+        """Releases the pool: starts no more runs, and waits until those ordered are recorded.
 
-        The end of the VM's lease, which follows, lets a successor claim.
+        A successor can claim the pool once the VM's lease ends, which follows.
         """
         self._is_releasing = True
         self.is_ready = False
-        await self._launcher.settle()
+        await self._launcher.wait_idle()
         try:
             await self._journal.recorded()
         except ClaimLostError as error:
-            _log.info("{}: {}", self.pool, error)
+            _log.info("{}: claim lost while the pool was released: {}", self.pool, error)
         await self._background.cancel()
         self.is_lost.set()
 
     async def close(self) -> None:
-        """Ends all activity, with the claim lost or the process ending."""
+        """Cancels all background work, after the claim is lost or when the process exits."""
         self.is_ready = False
         self.is_lost.set()
         await self._background.cancel()
 
-    def lose(self, why: str) -> None:
-        """Notes that another process may own the pool."""
+    def mark_lost(self, reason: str) -> None:
+        """Stops scheduling, as another process may own the pool now."""
         if not self.is_lost.is_set():
-            _log.warning("{}: the claim with token {} is lost: {}", self.pool, self.token, why)
+            _log.warning(
+                "{}: ownership claim with fencing token {} lost: {}", self.pool, self.token, reason
+            )
         self.is_ready = False
         self.is_lost.set()
 
-    async def _keep_journal(self) -> None:
+    async def _run_journal(self) -> None:
         try:
             await self._journal.run()
         except ClaimLostError as error:
-            self.lose(str(error))
+            self.mark_lost(str(error))
 
-    # SessionOwner
+    # Callbacks of worker sessions (`SessionOwner`)
 
     def may_place(self) -> bool:
-        """Tells whether new runs may be placed: the claim holds and commits succeed."""
+        """Returns whether new runs may be placed: the claim is valid and commits succeed."""
         return self.may_order() and self._claim.failing_since is None
 
     def may_order(self) -> bool:
         return (
             not self._is_releasing
             and not self.is_lost.is_set()
-            and self._clock.boot_time() < self._guard()
+            and self._clock.boot_time() < self._claim_valid_until()
         )
 
     def may_extend(self) -> bool:
-        limit = self._guard() + EXTENSION_WITHOUT_CLAIM
+        limit = self._claim_valid_until() + LEASE_EXTENSION_GRACE
         return not self.is_lost.is_set() and self._clock.boot_time() < limit
 
     def on_running(self, attempt: Attempt) -> None:
@@ -230,35 +242,41 @@
         if job.is_ended:
             attempt.session.stop(attempt)
         else:
-            self.lifecycle.note_started(job)
+            self.lifecycle.mark_started(job)
 
     def on_capacity_change(self, session: WorkerSession) -> None:
         self._wake.set()
 
     def on_fenced(self, session: WorkerSession) -> None:
-        self.lose(f"worker {session.worker} has seen a higher token")
+        self.mark_lost(f"worker {session.worker} has seen a higher fencing token")
 
     async def recorded(self) -> None:
         try:
             await self._journal.recorded()
         except ClaimLostError as error:
-            # The ends stay listed for the next owner.
+            # Workers keep reporting these ends, so the next owner records them.
             raise TimeoutError(str(error)) from error
 
-    def on_ended(self, attempt: Attempt, how: RunOutcome, checkpoint: str) -> None:
-        self.lifecycle.apply_end(attempt, how, checkpoint)
+    def on_ended(self, attempt: Attempt, outcome: RunOutcome, checkpoint: str) -> None:
+        self.lifecycle.apply_end(attempt, outcome, checkpoint)
 
-    # Callers
+    # Requests of callers
 
     async def accept(self, job_id: JobId, queue: Queue, spec: JobSpec) -> Refusal | None:
-        """Records a job, once. Raises `ClaimLostError` if its outcome is not known."""
+        """Records a job; repeated calls with the same id record it once.
+
+        Raises `ClaimLostError` if it is unknown whether the job was recorded.
+        """
         if job_id in self.job_by_id:
             return None
-        failing = self._claim.failing_since
-        is_out = failing is not None and self._clock.boot_time() - failing > STORE_PATIENCE
-        # An earlier call's record may still be written, so a refusal would not be certain.
-        if is_out and not self._journal.is_inserting(job_id):
-            return Refusal("the store does not answer", return_after(queue, spec))
+        outage_since = self._claim.failing_since
+        is_store_down = (
+            outage_since is not None and self._clock.boot_time() - outage_since > MAX_STORE_OUTAGE
+        )
+        # While an earlier call for this id is pending, its record may still be written, and a
+        # refusal could turn out wrong.
+        if is_store_down and not self._journal.is_inserting(job_id):
+            return Refusal("the store does not answer", retry_delay(queue, spec))
         record = JobRecord(
             job_id=job_id,
             queue=queue.name,
@@ -272,20 +290,20 @@
         if not self._journal.is_inserting(job_id):
             job = Job(record)
             self._journal.insert(job)
-            # Placed at once; the placement is recorded together with the job or after it.
+            # Scheduled at once: the placement is committed together with the job or after it.
             self.lifecycle.open_due(job)
         await self._journal.inserted(job_id)
         return None
 
     def _on_recorded(self, job: Job) -> None:
-        """Makes a job known once its record is in the store."""
+        """Registers a job once its record is in the store."""
         record = job.record
         if record.job_id not in self.job_by_id:
             self.job_by_id[record.job_id] = job
             _log.info("{} accepted into {}", record.job_id, record.queue)
 
     async def cancel(self, job_id: JobId) -> bool:
-        """Cancels a job; false if there is none. Raises `ClaimLostError`."""
+        """Cancels a job and returns whether it exists. Raises `ClaimLostError`."""
         job = self.job_by_id.get(job_id)
         if job is None:
             return False
@@ -332,7 +350,7 @@
             self._clock,
             self,
             self._background,
-            UNSEEN_LEASE,
+            MAX_FORMER_OWNER_LEASE,
             self._longest_lease,
         )
         session.is_listed = bool(listing.address)
@@ -346,21 +364,23 @@
             del self.session_by_worker[UpstreamId(session.worker)]
             self._placer.forget(UpstreamId(session.worker))
 
-    async def _keep_schedule(self) -> None:
+    async def _run_scheduler(self) -> None:
         checked_at = self._clock.boot_time()
         while not self.is_lost.is_set():
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TICK.total_seconds()):
+                async with asyncio.timeout(CHECK_INTERVAL.total_seconds()):
                     await self._wake.wait()
-            if self._clock.boot_time() - checked_at >= TICK:
+            if self._clock.boot_time() - checked_at >= CHECK_INTERVAL:
                 checked_at = self._clock.boot_time()
                 self._check_jobs()
             self._wake.clear()
-            began = self._clock.boot_time()
+            started_at = self._clock.boot_time()
             self._placer.schedule()
-            # Events that arrive meanwhile are handled by one pass, and passes take at most half of
-            # the processor's time, however long the queue is.
-            await self._clock.sleep(max(self._clock.boot_time() - began, SHORTEST_GAP))
+            # Events that arrive meanwhile are handled by one pass. Sleeping for as long as the pass
+            # took limits passes to half of the processor's time, however long the queue is.
+            await self._clock.sleep(
+                max(self._clock.boot_time() - started_at, MIN_SCHEDULING_INTERVAL)
+            )
 
     def _check_jobs(self) -> None:
         now_ms = self.now_ms()
--- a/hornbeamramp/poolowner/preemption.py
+++ b/hornbeamramp/poolowner/preemption.py
@@ -1,4 +1,4 @@
-"""Makes room for an urgent task by stopping less urgent ones that resume from their checkpoints."""
+"""Chooses less urgent runs to preempt for a task; preempted runs resume from a checkpoint."""
 
 from collections.abc import Iterable
 from datetime import timedelta
@@ -7,31 +7,31 @@
 from hornbeamramp.poolowner.choice import could_ever_run
 from hornbeamramp.poolowner.jobs import StepRun
 
-__all__ = ["choose_victims", "coming_room"]
+__all__ = ["choose_victims", "expected_slots"]
 
-# A run is not stopped before it has worked for this long, so that each run makes some progress.
-SHORTEST_WORK = timedelta(seconds=1)
-# Nearly finished runs are left alone: their room comes free soon in any case.
-LATEST_PERCENT = 90.0
+# Runs younger than this are not preempted, so that each run makes some progress.
+MIN_RUN_TIME = timedelta(seconds=1)
+# Runs with at least this progress are not preempted: they free their capacity soon in any case.
+MAX_VICTIM_PERCENT = 90.0
 
 
-def _is_victim(attempt: Attempt, step: StepRun, now: timedelta) -> bool:
-    other = attempt.task.unit.step
+def _is_preemptible(attempt: Attempt, step: StepRun, now: timedelta) -> bool:
+    victim_step = attempt.task.unit.step
     return (
         attempt.phase is AttemptPhase.RUNNING
         and not attempt.stop_wanted
-        and other.spec.checkpointing
-        and not other.spec.long_running
-        and not other.spec.gang
-        and other.job.record.priority > step.job.record.priority
+        and victim_step.spec.checkpointing
+        and not victim_step.spec.long_running
+        and not victim_step.spec.gang
+        and victim_step.job.record.priority > step.job.record.priority
         and attempt.started_at is not None
-        and now - attempt.started_at > SHORTEST_WORK
-        and attempt.percent < LATEST_PERCENT
+        and now - attempt.started_at > MIN_RUN_TIME
+        and attempt.percent < MAX_VICTIM_PERCENT
     )
 
 
-def coming_room(step: StepRun, sessions: Iterable[WorkerSession]) -> int:
-    """Returns how many tasks of the step fit into what is free or being stopped."""
+def expected_slots(step: StepRun, sessions: Iterable[WorkerSession]) -> int:
+    """Returns how many tasks of the step fit once the runs being stopped have ended."""
     total = 0
     for session in sessions:
         if could_ever_run(step, session):
@@ -40,36 +40,36 @@
     return total
 
 
-def _count_fitting(step: StepRun, session: WorkerSession, ending: Iterable[Attempt]) -> int:
-    room = list(session.free())
-    for attempt in ending:
+def _count_fitting(step: StepRun, session: WorkerSession, stopping: Iterable[Attempt]) -> int:
+    available = list(session.free())
+    for attempt in stopping:
         size = attempt.size
-        room[0] += size.processors_milli
-        room[1] += size.memory_mib
-        room[2] += size.accelerators
+        available[0] += size.processors_milli
+        available[1] += size.memory_mib
+        available[2] += size.accelerators
     size = step.size
     needs = (size.processors_milli, size.memory_mib, size.accelerators)
-    counts = [have // need for have, need in zip(room, needs, strict=True) if need]
+    counts = [have // need for have, need in zip(available, needs, strict=True) if need]
     return max(min(counts, default=0), 0)
 
 
 def choose_victims(
     step: StepRun, missing: int, sessions: Iterable[WorkerSession], now: timedelta
 ) -> list[Attempt]:
-    """Returns runs whose end makes room for up to ``missing`` tasks of the step.
+    """Returns runs to preempt so that up to ``missing`` more tasks of the step fit.
 
-    Takes workers where the fewest runs have to end for a task, and there those that have done the
-    least work.
+    Prefers workers where the fewest runs have to end for one task, and on a worker the runs with
+    the least progress.
     """
     victims: list[Attempt] = []
     options = []
     for session in sessions:
         if not could_ever_run(step, session):
             continue
-        candidates = [a for a in session.attempt_by_key.values() if _is_victim(a, step, now)]
+        candidates = [a for a in session.attempt_by_key.values() if _is_preemptible(a, step, now)]
         candidates.sort(key=lambda a: a.percent)
-        ending = [a for a in session.attempt_by_key.values() if a.stop_wanted]
-        chosen = _fewest(step, session, candidates, ending)
+        stopping = [a for a in session.attempt_by_key.values() if a.stop_wanted]
+        chosen = _fewest_victims(step, session, candidates, stopping)
         if chosen:
             options.append((len(chosen), session.worker, chosen))
     for _, _, chosen in sorted(options, key=lambda option: option[:2]):
@@ -80,14 +80,17 @@
     return victims
 
 
-def _fewest(
-    step: StepRun, session: WorkerSession, candidates: list[Attempt], ending: list[Attempt]
+def _fewest_victims(
+    step: StepRun, session: WorkerSession, candidates: list[Attempt], stopping: list[Attempt]
 ) -> list[Attempt]:
-    """Returns the first candidates whose end lets one more task fit, or none."""
-    before = _count_fitting(step, session, ending)
+    """Returns the shortest prefix of the candidates whose end lets one more task fit.
+
+    The list is empty if even the end of all candidates frees too little.
+    """
+    before = _count_fitting(step, session, stopping)
     chosen: list[Attempt] = []
     for candidate in candidates:
         chosen.append(candidate)
-        if _count_fitting(step, session, [*ending, *chosen]) > before:
+        if _count_fitting(step, session, [*stopping, *chosen]) > before:
             return chosen
     return []
--- a/hornbeamramp/vm/caller_service.py
+++ b/hornbeamramp/vm/caller_service.py
@@ -12,7 +12,7 @@
 from hornbeamramp.durations import to_ms
 from hornbeamramp.errors import SchedulerError, StoreUnavailableError, UnreachableError
 from hornbeamramp.ids import JobId, PoolName
-from hornbeamramp.poolowner import PoolOwner, return_after
+from hornbeamramp.poolowner import PoolOwner, retry_delay
 from hornbeamramp.rpc import PeerServer
 from hornbeamramp.states import Step
 from hornbeamramp.statestore import ClaimLostError, decode_progress, job_key, progress_key
@@ -106,7 +106,7 @@
                 "this VM is isolated from the store and the other VMs", ISOLATED_RETRY_AFTER
             )
         if self._is_store_unavailable():
-            return SubmitResult("the store is unavailable", return_after(queue, spec))
+            return SubmitResult("the store is unavailable", retry_delay(queue, spec))
         if self._node.config is None:
             return SubmitResult("no configuration loaded yet", CONFIG_RETRY_AFTER)
         version = self._node.config.version
--- a/hornbeamramp/workload/config.py
+++ b/hornbeamramp/workload/config.py
@@ -1,4 +1,4 @@
-"""The operators' configuration: queues that callers name, and pools of workers."""
+"""Configuration set by operators: queues that callers submit to, and pools of workers."""
 
 from datetime import timedelta
 
@@ -6,14 +6,18 @@
 
 from hornbeamramp.ids import PoolName, RouteName
 
-__all__ = ["URGENT", "AdviceTerms", "ClusterConfig", "Pool", "Queue", "Target"]
+__all__ = ["URGENT", "AdviceTiming", "ClusterConfig", "Pool", "Queue", "RouteMatch"]
 
-# Priority of queues that come first.
+# The most urgent priority.
 URGENT = 0
 
 
-class AdviceTerms(msgspec.Struct, frozen=True):
-    """Cost of asking which workers may run a step, and how long a ticket stays valid."""
+class AdviceTiming(msgspec.Struct, frozen=True):
+    """Duration of an advice request about a step, and how long a ticket stays valid.
+
+    `base`, `per_worker`
+        A request takes ``base`` plus ``per_worker`` for each worker it names.
+    """
 
     base: timedelta
     per_worker: timedelta
@@ -24,7 +28,7 @@
     """A queue of jobs. Priority 0 is served first.
 
     `stretch`, `target`
-        A job is on time within ``stretch`` times its longest chain of work plus ``target``.
+        A job is on time if it ends within ``stretch`` times its critical path plus ``target``.
     """
 
     name: RouteName
@@ -36,11 +40,11 @@
     stretch: float
     target: timedelta
     timeout: timedelta
-    advice: AdviceTerms | None = None
+    advice: AdviceTiming | None = None
 
 
 class Pool(msgspec.Struct, frozen=True):
-    """A pool of workers. ``standby`` pools hold machines that are switched off."""
+    """A pool of workers. The machines of a ``standby`` pool are switched off."""
 
     name: PoolName
     guards_capacity: bool = False
@@ -49,15 +53,15 @@
     health_path: str = ""
 
 
-class Target(msgspec.Struct, frozen=True):
-    """What a caller's host and path name: a queue and the rest of the path."""
+class RouteMatch(msgspec.Struct, frozen=True):
+    """Queue that a caller's host and path select, and the path after the queue's prefix."""
 
     queue: Queue
-    rest: str
+    path_suffix: str
 
 
 class ClusterConfig(msgspec.Struct, frozen=True):
-    """One version of the configuration. Versions only grow."""
+    """One version of the configuration. Version numbers never decrease."""
 
     version: int
     queue_by_name: dict[RouteName, Queue]
@@ -65,7 +69,7 @@
     max_header_bytes: int = 16_384
     max_body_bytes: int = 262_144
 
-    def match(self, host: str, path: str) -> Target | None:
+    def match(self, host: str, path: str) -> RouteMatch | None:
         """Returns the queue with the longest prefix of ``path`` on ``host``."""
         matching = [
             queue
@@ -75,4 +79,4 @@
         if not matching:
             return None
         best = max(matching, key=lambda queue: len(queue.prefix))
-        return Target(best, path[len(best.prefix) :])
+        return RouteMatch(best, path[len(best.prefix) :])
