--- a/hornbeamramp/http_client.py
+++ b/hornbeamramp/http_client.py
@@ -1,9 +1,9 @@
 """HTTP/1.1 client for one address, used by the HTTP adapters of upstreams and the platform.
 
-Connections that stop answering while new ones work are met in four ways: TCP keepalive and
-TCP_USER_TIMEOUT end a connection whose peer acknowledges nothing; a connection idle for longer
-than the idle limit is never reused; after a failed request all pooled connections are given up, so
-the next request opens a new one; and no request is ever repeated by the library.
+Four measures handle connections that are dead although new ones to the same address work: TCP
+keepalive and TCP_USER_TIMEOUT close a connection whose peer acknowledges nothing; a connection idle
+for longer than `IDLE_LIMIT` is never reused; after a failed request all pooled connections are
+retired, so the next request opens a new one; and the library never retries a request.
 """
 
 import asyncio
@@ -21,16 +21,16 @@
 
 __all__ = ["HttpClient", "HttpReply", "RequestFailedError", "open_socket"]
 
-# Connections of the stand-ins and of common servers stay open for longer than this when idle.
+# Shorter than the idle timeouts of the stand-ins and of common servers.
 IDLE_LIMIT = timedelta(seconds=5)
-ANSWER_LIMIT_BYTES = 16 * 1024 * 1024
+MAX_RESPONSE_BYTES = 16 * 1024 * 1024
 KEEPALIVE_IDLE_SECONDS = 5
 KEEPALIVE_INTERVAL_SECONDS = 2
 KEEPALIVE_PROBES = 3
 
 
 class HttpReply(msgspec.Struct, frozen=True):
-    """A complete answer. Header names are case-insensitive."""
+    """A complete response. Header names are case-insensitive."""
 
     status: int
     headers: Mapping[str, str]
@@ -38,22 +38,22 @@
 
 
 class RequestFailedError(Exception):
-    """No complete answer. ``sent`` is false only if no byte of the request was written."""
+    """No complete response. ``sent`` is false only if no byte of the request was written."""
 
     def __init__(self, message: str, sent: bool) -> None:
         super().__init__(message)
         self.sent = sent
 
 
-class _NotAllowedError(Exception):
-    """The caller's check returned false."""
+class _CheckFailedError(Exception):
+    """The check of the caller returned false, so the request was not written."""
 
 
 class _DisconnectedError(Exception):
-    """The connection closed before the answer."""
+    """The connection closed before the response."""
 
 
-class _Attempt:
+class _RequestState:
     """State of one request: whether it was written, and the check that precedes the write."""
 
     def __init__(self, check: Callable[[], bool] | None) -> None:
@@ -61,22 +61,22 @@
         self.allowed = True
         self._check = check
 
-    def confirm(self) -> None:
-        """Runs the check. Raises `_NotAllowedError` if it returns false."""
+    def run_check(self) -> None:
+        """Runs the check. Raises `_CheckFailedError` if it returns false."""
         if self._check is not None and not self._check():
             self.allowed = False
-            raise _NotAllowedError
+            raise _CheckFailedError
 
 
 async def _send_once(
     request: aiohttp.ClientRequest,
     handler: Callable[[aiohttp.ClientRequest], Awaitable[aiohttp.ClientResponse]],
 ) -> aiohttp.ClientResponse:
-    """Client middleware that keeps the library from sending a request twice.
+    """Client middleware that prevents aiohttp from retrying a request.
 
-    aiohttp sends GET, PUT and DELETE again if a reused connection closes before the answer. The
-    first one may have taken effect, so a compare-and-swap would then report a conflict with its
-    own write. The library does not repeat on an error of another type.
+    aiohttp retries GET, PUT and DELETE if a reused connection closes before the response. The first
+    request may have taken effect, so a retried compare-and-swap would report a conflict with its
+    own write. Errors of another type are not retried, so this raises its own.
     """
     try:
         return await handler(request)
@@ -85,26 +85,26 @@
 
 
 class _CheckedBody(payload.BytesPayload):
-    """Request body that runs the attempt's check right before headers and body are written."""
+    """Request body that runs the check right before headers and body are written."""
 
-    def __init__(self, body: bytes, attempt: _Attempt, content_type: str) -> None:
+    def __init__(self, body: bytes, state: _RequestState, content_type: str) -> None:
         super().__init__(body, content_type=content_type)
-        self._attempt = attempt
+        self._state = state
 
     async def write_with_length(self, writer: Any, content_length: int | None) -> None:
-        # The library holds the headers back until the first part of the body is written.
+        # aiohttp buffers the headers until the first part of the body is written.
         if writer.transport is None or writer.transport.is_closing():
             raise ConnectionResetError("the connection closed before the request was written")
-        self._attempt.confirm()
-        self._attempt.sent = True
+        self._state.run_check()
+        self._state.sent = True
         await writer.write(self._value)
 
 
 def open_socket(address: tuple[Any, ...], user_timeout: timedelta) -> socket.socket:
     """Returns a socket for ``address``, an entry of ``getaddrinfo``.
 
-    Keepalive ends an idle connection whose peer is gone after 11 s; ``user_timeout`` bounds the
-    time for which written data may stay unacknowledged. Raises ``OSError``.
+    Keepalive closes an idle connection 11 s after its peer is gone; ``user_timeout`` limits how
+    long written data may stay unacknowledged. Raises ``OSError``.
     """
     family, kind, protocol, _, _ = address
     sock = socket.socket(family, kind, protocol)
@@ -123,10 +123,10 @@
     `address`
         ``ip:port`` of the server.
     `timeout`
-        Longest time for a whole exchange, connecting included.
+        Limit for a whole exchange, connecting included.
     `clock`
-        Measures idle time. Its boot time goes on while the VM is suspended, unlike the time by
-        which the library expires idle connections.
+        Measures idle time. Its boot time includes time during which the VM is suspended, unlike
+        the clock by which aiohttp expires idle connections.
     """
 
     def __init__(self, address: str, timeout: timedelta, clock: Clock) -> None:
@@ -148,33 +148,33 @@
         check: Callable[[], bool] | None = None,
         content_type: str = "application/json",
     ) -> HttpReply:
-        """Sends one request and returns the complete answer, whatever its status.
+        """Sends one request and returns the complete response, whatever its status.
 
         ``path`` includes the query and is already percent-encoded. ``wait`` is added to the
-        timeout for requests that the server holds back. ``check`` needs a body; it is called
-        once connected, right before the request is handed to the transport, and the request is
-        not sent if it returns false. Raises `RequestFailedError`.
+        timeout for long polls. ``check`` requires a body; it is called once connected, right
+        before the request is handed to the transport, and the request is not sent if it returns
+        false. Raises `RequestFailedError`.
         """
         if check is not None and body is None:
             raise ValueError("a request with a check needs a body")
-        attempt = _Attempt(check)
-        session = self._take_session()
+        state = _RequestState(check)
+        session = self._acquire_session()
         limit = (self._timeout + wait).total_seconds()
         try:
             async with asyncio.timeout(limit):
                 return await self._exchange(
-                    session, attempt, method, path, body, headers, content_type
+                    session, state, method, path, body, headers, content_type
                 )
         except TimeoutError as error:
             self._retire(session)
-            raise RequestFailedError(f"no answer within {limit:.3f} s", attempt.sent) from error
+            raise RequestFailedError(f"no answer within {limit:.3f} s", state.sent) from error
         except (aiohttp.ClientError, OSError, _DisconnectedError) as error:
-            if not attempt.allowed:
-                raise RequestFailedError("no longer allowed to send", attempt.sent) from error
+            if not state.allowed:
+                raise RequestFailedError("the check before sending failed", state.sent) from error
             self._retire(session)
-            raise RequestFailedError(_describe(error), attempt.sent) from error
+            raise RequestFailedError(_describe(error), state.sent) from error
         finally:
-            await self._release(session)
+            await self._release_session(session)
 
     async def close(self) -> None:
         """Closes all connections. Pending requests fail."""
@@ -187,14 +187,14 @@
     async def _exchange(
         self,
         session: aiohttp.ClientSession,
-        attempt: _Attempt,
+        state: _RequestState,
         method: str,
         path: str,
         body: bytes | None,
         headers: Mapping[str, str] | None,
         content_type: str,
     ) -> HttpReply:
-        data = None if body is None else _CheckedBody(body, attempt, content_type)
+        data = None if body is None else _CheckedBody(body, state, content_type)
         async with session.request(
             method,
             f"http://{self.address}{path}",
@@ -202,18 +202,18 @@
             headers={hdrs.ACCEPT_ENCODING: "identity", **(headers or {})},
             allow_redirects=False,
             middlewares=(_send_once,),
-            trace_request_ctx=attempt if data is None else None,
+            trace_request_ctx=state if data is None else None,
         ) as response:
             received = bytearray()
             async for part in response.content.iter_any():
                 received += part
-                if len(received) > ANSWER_LIMIT_BYTES:
+                if len(received) > MAX_RESPONSE_BYTES:
                     raise aiohttp.ClientPayloadError(
-                        f"answer is larger than {ANSWER_LIMIT_BYTES} bytes"
+                        f"response is larger than {MAX_RESPONSE_BYTES} bytes"
                     )
             return HttpReply(response.status, response.headers, bytes(received))
 
-    def _take_session(self) -> aiohttp.ClientSession:
+    def _acquire_session(self) -> aiohttp.ClientSession:
         now = self._clock.boot_time()
         if self._session is not None and now - self._last_used > IDLE_LIMIT:
             self._retire(self._session)
@@ -230,7 +230,7 @@
             socket_factory=functools.partial(open_socket, user_timeout=self._timeout),
         )
         trace = aiohttp.TraceConfig()
-        trace.on_request_headers_sent.append(_note_headers_sent)
+        trace.on_request_headers_sent.append(_on_request_headers_sent)
         return aiohttp.ClientSession(
             connector=connector,
             cookie_jar=aiohttp.DummyCookieJar(),
@@ -240,15 +240,15 @@
         )
 
     def _retire(self, session: aiohttp.ClientSession) -> None:
-        """Takes no further requests on the session's connections; pending ones go on."""
+        """Sends no further requests on the session's connections; pending ones continue."""
         if self._session is session:
             self._session = None
             self._retired.add(session)
 
-    async def _release(self, session: aiohttp.ClientSession) -> None:
-        left = self._pending_by_session[session] - 1
-        if left:
-            self._pending_by_session[session] = left
+    async def _release_session(self, session: aiohttp.ClientSession) -> None:
+        pending = self._pending_by_session[session] - 1
+        if pending:
+            self._pending_by_session[session] = pending
             return
         del self._pending_by_session[session]
         if session in self._retired:
@@ -256,13 +256,13 @@
             await session.close()
 
 
-async def _note_headers_sent(
+async def _on_request_headers_sent(
     session: aiohttp.ClientSession, context: Any, params: aiohttp.TraceRequestHeadersSentParams
 ) -> None:
-    # Requests with a body write their headers together with it and note that themselves.
-    attempt = context.trace_request_ctx
-    if attempt is not None:
-        attempt.sent = True
+    # For requests with a body, `_CheckedBody` sets ``sent``: headers and body are written together.
+    state = context.trace_request_ctx
+    if state is not None:
+        state.sent = True
 
 
 def _describe(error: Exception) -> str:
--- a/hornbeamramp/http_server.py
+++ b/hornbeamramp/http_server.py
@@ -25,7 +25,7 @@
 class _BoundedRequest(Request):
     """Request whose body must arrive within the request timeout.
 
-    Sanic's own request timeout ends with the headers.
+    Sanic's own request timeout covers only the headers.
     """
 
     async def receive_body(self) -> None:
@@ -36,21 +36,21 @@
             # The connection is closed without waiting for the rest of the body.
             self.stream.request_body = None
             self.stream.keep_alive = False
-            raise RequestTimeout("the body did not arrive in time") from error
+            raise RequestTimeout("request body not received within the request timeout") from error
 
 
 def new_app(name: str, limits: LimitSettings) -> Sanic:
-    """Returns an application with the bounds of the settings and without Sanic's log set-up."""
+    """Returns an application with the limits of the settings and without Sanic's log setup."""
     app = Sanic(name, request_class=_BoundedRequest, configure_logging=False)
     app.config.REQUEST_MAX_SIZE = limits.body_bytes
     app.config.REQUEST_MAX_HEADER_SIZE = limits.header_bytes
     app.config.REQUEST_TIMEOUT = limits.request_timeout_ms / 1000
-    # A job may run for hours; its own deadline and the owner bound the wait for the answer.
+    # A job may run for hours; its deadline and the owner limit the wait for the response.
     app.config.RESPONSE_TIMEOUT = 86_400
     app.config.KEEP_ALIVE_TIMEOUT = 75
     app.config.GRACEFUL_SHUTDOWN_TIMEOUT = 0.0
     app.config.FALLBACK_ERROR_FORMAT = "json"
-    # TouchUp rewrites methods of the process, which fails for a second application.
+    # TouchUp rewrites methods process-wide, which fails for a second application.
     app.config.TOUCHUP = False
     app.config.MOTD = False
     app.config.ACCESS_LOG = False
@@ -61,7 +61,7 @@
     """One Sanic application on one address.
 
     `address`
-        ``ip:port`` to listen on; port 0 takes a free one, see `port`.
+        ``ip:port`` to listen on; port 0 chooses a free port, see `port`.
     `tls`
         Key files, or ``None`` for plain HTTP.
     """
@@ -95,12 +95,12 @@
         return 0 if self._server is None else len(self._server.connections)
 
     def stop_listening(self) -> None:
-        """Accepts no more connections; open ones go on."""
+        """Stops accepting connections; open ones stay open."""
         if self._server is not None:
             self._server.close()
 
     async def stop(self) -> None:
-        """Closes the listener and all connections that are idle."""
+        """Closes the listener and all idle connections."""
         if self._server is None:
             return
         self.stop_listening()
--- a/hornbeamramp/messages.py
+++ b/hornbeamramp/messages.py
@@ -1,4 +1,4 @@
-"""Typed messages between entry VMs. Encoded as msgpack by msgspec."""
+"""Typed messages between entry VMs, encoded as msgpack."""
 
 from datetime import timedelta
 
@@ -41,7 +41,7 @@
 
 
 class HelloRequest(msgspec.Struct, frozen=True):
-    """First message on a channel. A peer with another major version is refused."""
+    """First message on a channel. A peer with another protocol version is rejected."""
 
     version: int
     vm: VmId
@@ -55,7 +55,7 @@
 
 
 class ShardBeat(msgspec.Struct, frozen=True):
-    """What a heartbeat tells about a shard: its epoch and the expected wait by band."""
+    """State of an owned shard in a heartbeat: epoch, serving or not, expected wait by band."""
 
     epoch: Epoch
     serving: bool
@@ -63,7 +63,7 @@
 
 
 class Heartbeat(msgspec.Struct, frozen=True):
-    """Sign of life of a member. ``peer_address`` lets one without a record be answered."""
+    """Heartbeat of a member. Peers without a record of it use ``peer_address`` to reach it."""
 
     vm: VmId
     data_centre: DataCentreId
@@ -79,30 +79,30 @@
 
 
 class SubmitRequest(msgspec.Struct, frozen=True):
-    """A job for a shard. ``deadline`` in the job is the time left when this was sent."""
+    """Submits a job to a shard. The job's ``deadline`` is the time left when this was sent."""
 
     shard: ShardId
     job: BatchJob | ServiceJob | GangJob
 
 
 class Misdirected(msgspec.Struct, frozen=True, tag="misdirected"):
-    """The receiver does not own the shard. ``owner`` is whom it believes to own it."""
+    """The receiver does not own the shard. ``owner`` is the owner that it assumes, if any."""
 
     owner: VmId | None = None
     recovering: bool = False
 
 
 class SubmitReply(msgspec.Struct, frozen=True):
-    """``accepted`` tells that an asynchronous job is in the journal; then there is no outcome."""
+    """``accepted`` is the id of an asynchronous job once journalled; then there is no outcome."""
 
     outcome: Outcome | Misdirected | None
     accepted: JobId | None = None
 
 
 class ResolveRequest(msgspec.Struct, frozen=True):
-    """Asks for the fate of a submit whose reply was lost.
+    """Asks for the state of a submitted job whose reply was lost.
 
-    With ``refuse_unseen`` an owner that has not seen the id records it as refused first.
+    With ``refuse_unseen``, an owner that has not seen the id first records it as refused.
     """
 
     shard: ShardId
@@ -112,7 +112,7 @@
 
 
 class ResolveReply(msgspec.Struct, frozen=True):
-    """``state`` is ``None`` if the receiver does not own the shard or still recovers it.
+    """``state`` is ``None`` if the receiver does not own the shard or is still recovering it.
 
     `may_repeat`
         Whether an idempotent job may be sent again: no earlier attempt can be running.
@@ -144,14 +144,14 @@
 
 
 class AskOwnerRequest(msgspec.Struct, frozen=True):
-    """A candidate asks the owner on record whether it still serves the shard."""
+    """A candidate asks the recorded owner whether it still serves the shard."""
 
     shard: ShardId
     candidate: VmId
 
 
 class AskOwnerReply(msgspec.Struct, frozen=True):
-    """``promised_for`` is how long a promise the receiver gave to another still runs."""
+    """``promised_for`` is the time left of a promise that the receiver gave to ``promised_to``."""
 
     serving: bool
     epoch: Epoch
@@ -186,20 +186,21 @@
 
 
 class ConfigDeltaRequest(msgspec.Struct, frozen=True):
-    """Asks for the changes after ``after``. ``digest`` is that of the asker's last change."""
+    """Asks for the changes after ``after``. ``digest`` is that of the sender's last change."""
 
     after: Revision
     digest: str = ""
 
 
 class ConfigDeltaReply(msgspec.Struct, frozen=True):
-    """The changes after the point asked for, or the whole tables.
+    """The changes after the requested revision, or the whole tables.
 
-    Whole tables come with the last changes that led to them if the point asked for is no longer
-    kept or is on another chain of changes. Nothing comes if the receiver has no later revision.
+    The tables are sent, with the last changes that led to them, if the requested revision is no
+    longer kept or is on another chain of changes. Nothing is sent if the receiver has no later
+    revision.
 
     `revision`, `digest`
-        Of the receiver's last change.
+        Revision and digest of the receiver's last change.
     `base_digest`
         Digest of the revision before the first of ``changes``.
     """
--- a/hornbeamramp/rpc.py
+++ b/hornbeamramp/rpc.py
@@ -1,4 +1,4 @@
-"""gRPC between entry VMs: generic handlers, msgpack messages, one channel for each address."""
+"""gRPC between entry VMs: generic handlers, msgpack messages, one channel per address."""
 
 import asyncio
 import contextlib
@@ -24,9 +24,9 @@
 SERVICE = "hornbeamramp.Peer"
 MESSAGE_LIMIT_BYTES = 4 * 1024 * 1024
 HELLO_TIMEOUT = timedelta(seconds=2)
-# Time left to a call whose greeting used up its time-out: several round trips between VMs.
-SHORTEST_TIMEOUT = timedelta(milliseconds=50)
-DROP_GRACE_S = 5.0
+# Left for the call itself if the handshake used up its timeout: several round trips between VMs.
+MIN_TIMEOUT = timedelta(milliseconds=50)
+CHANNEL_CLOSE_GRACE_S = 5.0
 
 REPLY_TYPE_BY_REQUEST_TYPE: dict[type, type] = {
     messages.HelloRequest: messages.HelloReply,
@@ -42,7 +42,7 @@
     messages.StatusRequest: messages.StatusReply,
 }
 
-# A connection that has gone silent is found within keepalive time + timeout, in milliseconds.
+# A dead connection is detected within keepalive time + timeout, both in milliseconds.
 CHANNEL_OPTIONS = [
     ("grpc.keepalive_time_ms", 5_000),
     ("grpc.keepalive_timeout_ms", 2_000),
@@ -50,7 +50,7 @@
     ("grpc.http2.max_pings_without_data", 0),
     ("grpc.max_receive_message_length", MESSAGE_LIMIT_BYTES),
     ("grpc.max_send_message_length", MESSAGE_LIMIT_BYTES),
-    # Without this a replaced channel would share the old channel's silent connection.
+    # Without this, a new channel would share the dead connection of the channel it replaces.
     ("grpc.use_local_subchannel_pool", 1),
     ("grpc.enable_http_proxy", 0),
     ("grpc.service_config_disable_resolution", 1),
@@ -79,12 +79,12 @@
 
 
 class PeerServer:
-    """Answers calls of other entry VMs.
+    """Serves calls from other entry VMs.
 
     `address`
-        ``ip:port`` to listen on; port 0 takes a free one, see `port`.
+        ``ip:port`` to listen on; port 0 chooses a free port, see `port`.
     `tls`
-        Key files, or ``None`` for plain TCP. With a CA the peers must show a certificate.
+        Key files, or ``None`` for plain TCP. With a CA, peers must present a certificate.
     """
 
     def __init__(
@@ -103,11 +103,11 @@
         self.port = 0
 
     def handle(self, request_type: type, handler: Handler) -> None:
-        """Sets the handler of a message. To be called before `start`."""
+        """Registers the handler of a request type. Must be called before `start`."""
         self._handlers[request_type] = handler
 
     async def start(self) -> None:
-        """Binds and starts answering. Raises ``OSError`` if the address can't be bound."""
+        """Binds and starts serving. Raises ``OSError`` if the address can't be bound."""
         self._server = grpc.aio.server(options=SERVER_OPTIONS)
         methods = {
             _method_name(request_type): self._method(request_type, handler)
@@ -126,7 +126,7 @@
         await self._server.start()
 
     async def stop(self, grace: timedelta) -> None:
-        """Refuses new calls and gives running ones up to ``grace`` to finish."""
+        """Rejects new calls and waits up to ``grace`` for running ones to finish."""
         if self._server is not None:
             await self._server.stop(grace.total_seconds())
 
@@ -152,7 +152,7 @@
 
 
 class PeerClient:
-    """Calls other entry VMs. Opens a channel per address and replaces one that failed."""
+    """Calls other entry VMs. Keeps one channel per address and replaces it after a failure."""
 
     def __init__(
         self,
@@ -164,8 +164,8 @@
         self._hello = messages.HelloRequest(messages.PROTOCOL_VERSION, vm, data_centre)
         self._credentials = None if tls is None else _channel_credentials(tls)
         self._channel_by_address: dict[str, grpc.aio.Channel] = {}
-        self._greeting_by_address: dict[str, asyncio.Task[None]] = {}
-        self._greeted: set[str] = set()
+        self._handshake_by_address: dict[str, asyncio.Task[None]] = {}
+        self._compatible_addresses: set[str] = set()
         self._decoder_by_type = {
             request_type: msgspec.msgpack.Decoder(reply_type)
             for request_type, reply_type in reply_type_by_request_type.items()
@@ -174,45 +174,45 @@
     async def call(self, address: str, request: Any, timeout: timedelta, step: Step) -> Any:
         """Sends a request and returns the reply struct.
 
-        Raises `UnreachableError` if no answer came within ``timeout``; its ``sent`` is false if
-        the request was certainly not sent. Raises `ProtocolError` on another protocol version or
-        a malformed reply.
+        Raises `UnreachableError` if no reply arrived within ``timeout``; its ``sent`` is false only
+        if the request was certainly not sent. Raises `ProtocolError` if the peer has another
+        protocol version or the reply is malformed.
         """
         loop = asyncio.get_running_loop()
         began = loop.time()
-        await self._greet(address, min(timeout, HELLO_TIMEOUT), step)
-        left = timeout - timedelta(seconds=loop.time() - began)
-        return await self._call(address, request, max(left, SHORTEST_TIMEOUT), step, sent=True)
+        await self._ensure_handshake(address, min(timeout, HELLO_TIMEOUT), step)
+        remaining = timeout - timedelta(seconds=loop.time() - began)
+        return await self._call(address, request, max(remaining, MIN_TIMEOUT), step, sent=True)
 
     async def close(self) -> None:
         """Closes all channels."""
         for address in list(self._channel_by_address):
-            await self._drop(address)
+            await self._discard_channel(address)
 
-    async def _greet(self, address: str, timeout: timedelta, step: Step) -> None:
-        """Makes sure that the peer speaks this version. Calls that wait share one greeting."""
-        if address in self._greeted:
+    async def _ensure_handshake(self, address: str, timeout: timedelta, step: Step) -> None:
+        """Checks the peer's protocol version once. Concurrent calls share one handshake."""
+        if address in self._compatible_addresses:
             return
-        greeting = self._greeting_by_address.get(address)
-        if greeting is None:
-            greeting = asyncio.get_running_loop().create_task(
-                self._say_hello(address, timeout, step)
+        handshake = self._handshake_by_address.get(address)
+        if handshake is None:
+            handshake = asyncio.get_running_loop().create_task(
+                self._handshake(address, timeout, step)
             )
-            self._greeting_by_address[address] = greeting
-            greeting.add_done_callback(lambda task: self._end_greeting(address, task))
-        await asyncio.shield(greeting)
+            self._handshake_by_address[address] = handshake
+            handshake.add_done_callback(lambda task: self._on_handshake_done(address, task))
+        await asyncio.shield(handshake)
 
-    async def _say_hello(self, address: str, timeout: timedelta, step: Step) -> None:
+    async def _handshake(self, address: str, timeout: timedelta, step: Step) -> None:
         reply = await self._call(address, self._hello, timeout, step, sent=False)
         if reply.version != messages.PROTOCOL_VERSION:
-            raise ProtocolError(step, address, f"peer speaks version {reply.version}")
-        self._greeted.add(address)
+            raise ProtocolError(step, address, f"peer has protocol version {reply.version}")
+        self._compatible_addresses.add(address)
 
-    def _end_greeting(self, address: str, greeting: asyncio.Task[None]) -> None:
-        del self._greeting_by_address[address]
-        if not greeting.cancelled():
-            # Retrieved here too, as all that waited may have been cancelled.
-            greeting.exception()
+    def _on_handshake_done(self, address: str, handshake: asyncio.Task[None]) -> None:
+        del self._handshake_by_address[address]
+        if not handshake.cancelled():
+            # Marks the exception as retrieved: all waiting calls may have been cancelled.
+            handshake.exception()
 
     async def _call(
         self, address: str, request: Any, timeout: timedelta, step: Step, sent: bool
@@ -231,15 +231,15 @@
                     metadata=tuple(carrier.items()),
                 )
             except grpc.aio.AioRpcError as error:
-                await self._forget(address, channel, error.code())
+                await self._discard_failed_channel(address, channel, error.code())
                 message = f"{method}: {error.code().name}: {error.details()}"
                 raise UnreachableError(step, address, message, sent) from error
             except asyncio.CancelledError as error:
                 task = asyncio.current_task()
                 if task is not None and task.cancelling():
                     raise
-                # The channel was given up under this call; the caller itself goes on.
-                message = f"{method}: the connection was given up"
+                # Another call closed the channel; the calling task itself was not cancelled.
+                message = f"{method}: the channel was closed before the reply arrived"
                 raise UnreachableError(step, address, message, sent) from error
         try:
             return self._decoder_by_type[type(request)].decode(data)
@@ -258,20 +258,22 @@
             self._channel_by_address[address] = channel
         return channel
 
-    async def _forget(self, address: str, channel: grpc.aio.Channel, code: grpc.StatusCode) -> None:
-        # A timeout may mean that the connection has gone silent, so the next call opens a new one.
-        lost = code in (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.DEADLINE_EXCEEDED)
-        if lost and self._channel_by_address.get(address) is channel:
-            await self._drop(address)
+    async def _discard_failed_channel(
+        self, address: str, channel: grpc.aio.Channel, code: grpc.StatusCode
+    ) -> None:
+        # A timeout may mean that the connection is dead, so the next call opens a new one.
+        is_disconnected = code in (grpc.StatusCode.UNAVAILABLE, grpc.StatusCode.DEADLINE_EXCEEDED)
+        if is_disconnected and self._channel_by_address.get(address) is channel:
+            await self._discard_channel(address)
 
-    async def _drop(self, address: str) -> None:
-        self._greeted.discard(address)
+    async def _discard_channel(self, address: str) -> None:
+        self._compatible_addresses.discard(address)
         channel = self._channel_by_address.pop(address, None)
         if channel is not None:
             with contextlib.suppress(grpc.RpcError):
-                # Other calls on this channel get time to finish. Those to a peer that has stopped
-                # would wait for ever, as a channel that is closing sends no keepalives.
-                asyncio.get_running_loop().create_task(channel.close(DROP_GRACE_S))
+                # Other calls on this channel get time to finish. Without a limit, calls to a
+                # stopped peer would wait forever, as a closing channel sends no keepalives.
+                asyncio.get_running_loop().create_task(channel.close(CHANNEL_CLOSE_GRACE_S))
 
 
 def _read(path: str) -> bytes:
--- a/tests/test_http_client.py
+++ b/tests/test_http_client.py
@@ -1,4 +1,4 @@
-"""Tests of the HTTP client on loopback sockets: what was written, and on which connection."""
+"""Tests of the HTTP client on loopback sockets: what is written, and on which connection."""
 
 import asyncio
 import contextlib
@@ -19,7 +19,7 @@
 
 class RawServer:
     """Records what arrives. ``script`` has one action per request: ``answer``, ``silent``,
-    ``close`` or ``half``; after its end requests are answered."""
+    ``close`` or ``half``; requests after its end get ``answer``."""
 
     def __init__(self, *script: str) -> None:
         self.script = list(script)
@@ -118,7 +118,7 @@
 
 
 def test_check_is_not_called_before_the_connection_is_there(run):
-    """Guards against a check whose result is old by the time the connection is established."""
+    """Guards against a check whose result is stale once the connection is established."""
 
     async def scenario():
         calls = []
@@ -148,7 +148,7 @@
 
 
 def test_request_after_a_timeout_uses_a_new_connection(run):
-    """Guards against asking again on a connection that never answers any more."""
+    """Guards against reusing a connection on which a request has timed out."""
 
     async def scenario():
         async with (
@@ -166,7 +166,7 @@
 
 
 def test_all_idle_connections_are_given_up_after_a_timeout(run):
-    """Guards against trying one dead connection after the other, each for a whole timeout."""
+    """Guards against trying one dead pooled connection after another, each for a full timeout."""
 
     async def scenario():
         script = ("answer", "answer", "silent")
@@ -182,7 +182,7 @@
 
 
 def test_pending_request_survives_the_failure_of_another(run):
-    """Guards against a failed call cutting off answers that other callers wait for."""
+    """Guards against a failed request that closes the connections of pending ones."""
 
     async def scenario():
         arrived, release = asyncio.Event(), asyncio.Event()
@@ -210,7 +210,7 @@
 
 
 def test_connection_idle_for_long_is_not_reused(run):
-    """Guards against sending on a connection that died unnoticed, as during a suspension."""
+    """Guards against sending on a dead connection, for example after a VM was suspended."""
 
     async def scenario():
         clock = ManualClock()
@@ -225,7 +225,7 @@
 
 
 def test_answer_cut_in_the_middle_is_a_failure(run):
-    """Guards against taking the first part of an answer for the whole."""
+    """Guards against taking a truncated response for a complete one."""
 
     async def scenario():
         async with serving("half") as server, connected(server.address) as client:
@@ -238,7 +238,7 @@
 
 def test_answer_over_the_limit_is_refused(run, monkeypatch):
     """Guards against a peer that exhausts the memory of an entry VM."""
-    monkeypatch.setattr(http_client, "ANSWER_LIMIT_BYTES", 1)
+    monkeypatch.setattr(http_client, "MAX_RESPONSE_BYTES", 1)
 
     async def scenario():
         async with serving() as server, connected(server.address) as client:
--- a/tests/test_rpc.py
+++ b/tests/test_rpc.py
@@ -42,7 +42,7 @@
 
 
 def test_a_refused_connection_is_known_not_to_be_sent(run):
-    """Guards against treating a request that never left as one with an unknown fate."""
+    """Guards against reporting a request that was never sent as possibly sent."""
 
     async def scenario():
         client = PeerClient("vm-2", "tuzla")
@@ -56,8 +56,8 @@
     run(scenario())
 
 
-def test_a_missing_answer_leaves_the_fate_open(run):
-    """Guards against reporting an unanswered request as not sent."""
+def test_a_call_that_times_out_may_have_been_sent(run):
+    """Guards against reporting a request without a reply as not sent."""
 
     async def scenario():
         async def handler(request):
@@ -75,7 +75,7 @@
 
 
 def test_another_protocol_version_is_refused(run):
-    """Guards against two versions that misread each other's messages."""
+    """Guards against two versions that decode each other's messages wrongly."""
 
     async def scenario():
         async def old_hello(request):
@@ -93,8 +93,11 @@
     run(scenario())
 
 
-def test_a_call_on_a_channel_that_is_given_up_leaves_the_fate_open(run, monkeypatch):
-    """Guards against a cancelled request of a caller whose owner was paused under it."""
+def test_a_call_on_a_channel_that_is_closed_may_have_been_sent(run, monkeypatch):
+    """Guards against cancelling a pending call when another call to the same peer times out.
+
+    This happened when the owner's process was paused during the call.
+    """
 
     async def scenario():
         release = asyncio.Event()
@@ -114,20 +117,20 @@
         await client.close()
         await server.stop(timedelta(0))
 
-    monkeypatch.setattr("hornbeamramp.rpc.DROP_GRACE_S", 0.1)
+    monkeypatch.setattr("hornbeamramp.rpc.CHANNEL_CLOSE_GRACE_S", 0.1)
     run(scenario())
 
 
-def test_greeting_and_request_share_the_time_of_a_call():
-    """A call to a VM that answered no greeting took twice its time-out."""
+def test_handshake_and_request_share_the_timeout_of_a_call():
+    """Guards against a call that takes twice its timeout if the peer ignores the hello."""
 
-    class SlowGreeting(PeerClient):
-        async def _greet(self, address, timeout, step):
+    class SlowHandshake(PeerClient):
+        async def _ensure_handshake(self, address, timeout, step):
             await asyncio.sleep(0.4)
 
         async def _call(self, address, request, timeout, step, sent):
             return timeout
 
-    client = SlowGreeting("vm-2", "tuzla")
-    left = run_in_virtual_time(client.call("10.0.0.1:1", None, SECOND, Step.ANSWER))
-    assert left.total_seconds() == pytest.approx(0.6)
+    client = SlowHandshake("vm-2", "tuzla")
+    remaining = run_in_virtual_time(client.call("10.0.0.1:1", None, SECOND, Step.ANSWER))
+    assert remaining.total_seconds() == pytest.approx(0.6)
