--- a/hornbeamramp/background.py
+++ b/hornbeamramp/background.py
@@ -1,4 +1,4 @@
-"""Background tasks of one part of a process."""
+"""Background tasks of one component of a process."""
 
 import asyncio
 import contextvars
@@ -11,12 +11,12 @@
 
 
 class BackgroundTasks:
-    """Keeps references to tasks, logs those that fail, and ends them together.
+    """Keeps references to tasks, logs failed ones, and cancels all of them together.
 
     `name`
-        What the tasks belong to, for the log.
+        Name of the component, for log lines.
     `log`
-        Logger of the part.
+        Logger of the component.
     """
 
     def __init__(self, name: str, log: logbook.Logger) -> None:
@@ -33,7 +33,7 @@
         task.add_done_callback(self._on_done)
 
     async def cancel(self) -> None:
-        """Cancels all tasks and waits for their end."""
+        """Cancels all tasks and waits until they have ended."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -42,4 +42,4 @@
     def _on_done(self, task: asyncio.Task[Any]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self._log.error("{}: a task failed: {!r}", self._name, task.exception())
+            self._log.error("{}: background task failed: {!r}", self._name, task.exception())
--- a/hornbeamramp/clock.py
+++ b/hornbeamramp/clock.py
@@ -1,4 +1,4 @@
-"""Clock interface, the system clock and a clock that tests advance by hand."""
+"""Clock interface, the system clock and a manual clock for tests."""
 
 import asyncio
 import heapq
@@ -11,7 +11,7 @@
 
 
 class Clock(ABC):
-    """Source of time for everything that waits or measures."""
+    """Source of time for all waits and measurements."""
 
     @abstractmethod
     def now(self) -> datetime:
@@ -27,10 +27,10 @@
 
 
 class SystemClock(Clock):
-    """Clock of the machine.
+    """Clock of the operating system.
 
-    `boot_time` reads CLOCK_BOOTTIME: CLOCK_MONOTONIC stands still while a VM is suspended, so a
-    lease measured with it would outlive the store's view of it.
+    `boot_time` reads CLOCK_BOOTTIME: CLOCK_MONOTONIC stops while a VM is suspended, so a lease
+    measured with it would appear valid after it has expired in the store.
     """
 
     def now(self) -> datetime:
@@ -44,7 +44,7 @@
 
 
 class ManualClock(Clock):
-    """Clock that stands still until `advance` is called. Sleepers wake in order of their time."""
+    """Clock that only moves in `advance` and `set`. Sleepers wake in order of their wake time."""
 
     def __init__(self, start: datetime = datetime(2026, 1, 1, tzinfo=UTC)) -> None:
         self._start = start
@@ -67,24 +67,24 @@
         await future
 
     def set(self, elapsed: timedelta) -> None:
-        """Moves the time without waking sleepers, for code that never sleeps."""
+        """Sets the time without waking sleepers, for code that never sleeps."""
         self._elapsed = elapsed
 
     async def advance(self, duration: timedelta) -> None:
-        """Moves the time forward and runs each sleeper at its own time."""
+        """Moves the time forward and wakes each sleeper at its wake time."""
         target = self._elapsed + duration
-        await self._settle()
+        await self._run_ready_tasks()
         while self._sleepers and self._sleepers[0][0] <= target:
             wake_at, _, future = heapq.heappop(self._sleepers)
             self._elapsed = max(self._elapsed, wake_at)
             if not future.done():
                 future.set_result(None)
-            await self._settle()
+            await self._run_ready_tasks()
         self._elapsed = target
-        await self._settle()
+        await self._run_ready_tasks()
 
     @staticmethod
-    async def _settle() -> None:
-        # Tasks woken by a sleeper may themselves need several passes of the loop.
+    async def _run_ready_tasks() -> None:
+        # Tasks that depend on a woken sleeper may need several iterations of the event loop.
         for _ in range(20):
             await asyncio.sleep(0)
--- a/hornbeamramp/durations.py
+++ b/hornbeamramp/durations.py
@@ -1,4 +1,4 @@
-"""Durations as whole milliseconds, as messages and interfaces carry them."""
+"""Conversion of durations to and from whole milliseconds, as used in messages and APIs."""
 
 from datetime import timedelta
 
--- a/hornbeamramp/errors.py
+++ b/hornbeamramp/errors.py
@@ -1,4 +1,4 @@
-"""Errors. Each carries the step at which it arose and the peer it concerns."""
+"""Exceptions of the scheduler, each with the step at which it arose and the peer concerned."""
 
 from hornbeamramp.states import Step
 
@@ -12,7 +12,7 @@
 
 
 class SchedulerError(Exception):
-    """Base of all errors of this package.
+    """Base class of all errors of this package.
 
     `step`
         The `Step` at which the error arose.
@@ -28,7 +28,7 @@
 
 
 class UnreachableError(SchedulerError):
-    """No answer from the peer. The request may have taken effect if ``sent`` is true."""
+    """No reply from the peer. The request may have taken effect if ``sent`` is true."""
 
     def __init__(self, step: Step, peer: str, message: str, sent: bool = True) -> None:
         super().__init__(step, peer, message)
@@ -36,7 +36,7 @@
 
 
 class StoreUnavailableError(UnreachableError):
-    """The platform's key-value service did not answer or refused for lack of capacity."""
+    """The platform's key-value store did not reply or had no capacity for the request."""
 
 
 class ConflictError(SchedulerError):
--- a/hornbeamramp/ids.py
+++ b/hornbeamramp/ids.py
@@ -1,4 +1,4 @@
-"""Identifier types. All are opaque; equality is the only operation callers rely on."""
+"""Identifier types. All are opaque: callers may only compare them for equality."""
 
 from typing import NewType
 
--- a/hornbeamramp/instruments.py
+++ b/hornbeamramp/instruments.py
@@ -1,4 +1,4 @@
-"""Counters and histograms of an entry VM's process. Without a reader they record nothing."""
+"""Counters and histograms of an entry VM. Without a metric reader they record nothing."""
 
 from opentelemetry import metrics
 
--- a/hornbeamramp/jobs.py
+++ b/hornbeamramp/jobs.py
@@ -1,4 +1,4 @@
-"""Jobs, their tasks' results and the three outcomes a caller can be told."""
+"""Jobs, the results of their tasks and the three outcomes reported to callers."""
 
 import hashlib
 from datetime import timedelta
@@ -40,7 +40,7 @@
 
 
 def attempt_id(job_id: JobId, task: int, epoch: Epoch, number: int) -> AttemptId:
-    """Returns the id of one attempt. The owner's epoch makes ids of different owners distinct."""
+    """Returns the id of one attempt. The epoch keeps ids of different owners distinct."""
     return AttemptId(f"{job_id}.{task}.{epoch}.{number}")
 
 
@@ -56,18 +56,18 @@
 
 
 class Job(msgspec.Struct, frozen=True, tag_field="kind", kw_only=True):
-    """Work a caller submitted. Base of `BatchJob`, `ServiceJob` and `GangJob`.
+    """Work submitted by a caller. Base of `BatchJob`, `ServiceJob` and `GangJob`.
 
     `resources`
-        What each task takes.
+        Resources that each task uses.
     `deadline`
-        Time from acceptance until the answer is of no more use, or ``None``.
+        Time from acceptance until the answer is no longer useful, or ``None``.
     `declared_run`
-        The caller's guess of one task's run time on an upstream of speed 1.0.
+        Run time of one task on an upstream of speed 1.0, as estimated by the caller.
     `idempotent`
-        Whether the job may be attempted again once an attempt is known to be over.
+        Whether the job may be retried once an attempt is known to have ended.
     `asynchronous`
-        Whether the caller fetches the answer later instead of waiting on the connection.
+        Whether the caller fetches the answer later instead of waiting for it on the connection.
     `key`
         The caller's idempotency key, or ``None``.
     """
@@ -87,7 +87,7 @@
     key: str | None = None
 
     def digest(self) -> str:
-        """Returns a digest over what the caller asked for, without the job id."""
+        """Returns a digest over the caller's request, without the job id."""
         parts = msgspec.msgpack.encode(
             [self.route, self.team, self.tasks, self.resources, self.payload, self.idempotent]
         )
@@ -99,15 +99,15 @@
 
 
 class ServiceJob(Job, tag="service", frozen=True, kw_only=True):
-    """Standing tasks that run until cancelled. Spread over racks, restarted when they end."""
+    """Long-running tasks, spread over racks and restarted when they end, until cancelled."""
 
 
 class GangJob(Job, tag="gang", frozen=True, kw_only=True):
-    """Tasks that must all run at once."""
+    """Tasks that must all run at the same time."""
 
 
 class TaskResult(msgspec.Struct, frozen=True):
-    """Answer of one task. ``length`` and ``digest`` are those the upstream stated."""
+    """Answer of one task, with the payload's ``length`` and ``digest`` as sent by the upstream."""
 
     attempt_id: AttemptId
     upstream_id: UpstreamId
@@ -121,7 +121,7 @@
 
 
 class Completed(msgspec.Struct, frozen=True, tag="completed"):
-    """The job ran to its answer. ``results`` has one entry per task, in task order."""
+    """The job ended with an answer. ``results`` has one entry per task, in task order."""
 
     job_id: JobId
     results: list[TaskResult]
@@ -139,7 +139,7 @@
 
 
 class Unknown(msgspec.Struct, frozen=True, tag="unknown"):
-    """It can't be told whether the job ran."""
+    """Whether the job ran can't be determined."""
 
     job_id: JobId
     detail: str
--- a/hornbeamramp/logs.py
+++ b/hornbeamramp/logs.py
@@ -1,6 +1,6 @@
-"""Log set-up: logbook to standard error, as text with a fixed prefix for each part, or as JSON.
+"""Log setup: logbook to standard error, as JSON or as text prefixed with the logger's name.
 
-A process on a platform that collects standard output writes JSON lines there without blocking.
+On a platform that collects standard output, JSON lines are written there without blocking.
 """
 
 import json
@@ -20,7 +20,7 @@
 
 
 def json_line(record: logbook.LogRecord, handler: logbook.Handler, vm: str = "") -> str:
-    """Formats a record as one JSON object: time, VM, level, part, message, trace id and extras."""
+    """Formats a record as one JSON object; ``part`` is the name of the logger."""
     line = {
         "time": record.time.isoformat() + "Z",
         **({"vm": vm} if vm else {}),
@@ -38,7 +38,7 @@
 
 
 def setup_logs(settings: LogSettings) -> logbook.Handler:
-    """Pushes the process's log handler and returns it.
+    """Installs the process's log handler and returns it.
 
     Raises ``LookupError`` for an unknown level.
     """
@@ -52,10 +52,13 @@
 
 
 class NonBlockingHandler(logbook.Handler):
-    """Writes JSON lines to a descriptor. What it doesn't take at once waits up to a bound; beyond
-    it, lines are dropped, and the next line that is written tells how many."""
+    """Writes JSON lines to a file descriptor without blocking.
 
-    # Some seconds of the busiest log seen (100 kB/s), well below a process's memory.
+    Output that the descriptor does not accept is buffered. Lines that would exceed the buffer are
+    dropped; the next accepted line is preceded by one with the number of dropped lines.
+    """
+
+    # About 5 s at the highest log rate seen (100 kB/s), small compared to a process's memory.
     BUFFER_LIMIT_BYTES = 512 * 1024
 
     def __init__(self, descriptor: int, level: int = logbook.INFO) -> None:
@@ -86,7 +89,7 @@
 
 
 def setup_stdout_logs() -> NonBlockingHandler:
-    """Pushes a handler that writes JSON lines to standard output and returns it."""
+    """Installs a handler that writes JSON lines to standard output and returns it."""
     handler = NonBlockingHandler(sys.stdout.fileno())
     handler.push_application()
     return handler
--- a/hornbeamramp/rendezvous.py
+++ b/hornbeamramp/rendezvous.py
@@ -12,8 +12,8 @@
 def rank(shard: ShardId, size_by_vm: Mapping[VmId, float]) -> list[VmId]:
     """Returns the members in order of preference for ``shard``.
 
-    A member comes first for a share of all shards in proportion to its size. The loss of a member
-    leaves the order of the others unchanged. Members of size 0 or less are left out.
+    The fraction of shards for which a member ranks first is proportional to its size. Removing a
+    member leaves the order of the others unchanged. Members of size 0 or less are omitted.
     """
     scored = [(_score(shard, vm, size), vm) for vm, size in size_by_vm.items() if size > 0]
     return [vm for _, vm in sorted(scored, reverse=True)]
--- a/hornbeamramp/resources.py
+++ b/hornbeamramp/resources.py
@@ -1,4 +1,4 @@
-"""Resource vectors: what an upstream has and what a task asks for."""
+"""Resource vectors: the capacity of an upstream and the request of a task."""
 
 import msgspec
 
@@ -6,7 +6,7 @@
 
 
 class Resources(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Amounts of each kind of resource; all are at least 0.
+    """Amount of each kind of resource, all at least 0.
 
     `processors_milli`
         Thousandths of a processor core.
--- a/hornbeamramp/settings.py
+++ b/hornbeamramp/settings.py
@@ -1,4 +1,4 @@
-"""Settings of one entry process, read from a YAML file and checked by msgspec."""
+"""Settings of one entry process, read from a YAML file and validated by msgspec."""
 
 from pathlib import Path
 
@@ -34,16 +34,16 @@
 
 
 class PlatformSettings(_Section, frozen=True, kw_only=True):
-    """Where the platform's service answers.
+    """Connection to the platform's service.
 
     `adapter`
         Name of the platform adapter.
     `address`
         ``ip:port`` of the platform's service.
     `timeout_ms`
-        Longest wait for an answer.
+        Timeout of a call.
     `calls_per_second`
-        Budget of store calls of this process.
+        Rate limit of this process's calls to the store.
     """
 
     adapter: str = "http"
@@ -56,9 +56,9 @@
     """Listener for operators. Without a token there is no listener.
 
     `address`
-        ``ip:port`` to listen on; port 0 takes a free one.
+        ``ip:port`` to listen on; port 0 chooses a free port.
     `token_file`
-        File that holds the bearer token. The token itself is never part of the settings.
+        File that contains the bearer token. The token itself is never part of the settings.
     """
 
     address: str
@@ -73,8 +73,8 @@
     `key_file`
         Private key of the certificate, not encrypted.
     `ca_file`
-        Certificates of the authority that must have signed those of the other entry VMs. Without
-        it peers are not asked for a certificate.
+        Certificates of the authority that must have signed the certificates of the other entry
+        VMs. Without it, peers are not asked for a certificate.
     """
 
     certificate_file: str
@@ -83,16 +83,17 @@
 
 
 class LimitSettings(_Section, frozen=True, kw_only=True):
-    """Bounds on what callers may send and on what waits inside the process.
+    """Limits on the size, number and receive time of callers' requests.
 
     `body_bytes`
-        Largest body of a request.
+        Maximum size of a request's body.
     `header_bytes`
-        Largest size of all headers of a request.
+        Maximum total size of a request's headers.
     `waiting_requests`
-        Most submits that wait on this VM; further ones get 429.
+        Maximum number of submits waiting on this VM; further ones are rejected with 429.
     `request_timeout_ms`
-        Longest pause while the headers of a request arrive, and longest time for its body.
+        Maximum time without data while the headers of a request are received, and maximum time
+        for receiving its body.
     """
 
     body_bytes: int = 1_000_000
@@ -107,22 +108,23 @@
     `lease_ttl_ms`
         Lifetime of the process lease after a renewal.
     `renew_ms`
-        Interval of the renewals of the process lease.
+        Interval between renewals of the process lease.
     `drift_margin_ms`
-        Safety margin for clocks that run at different rates.
+        Safety margin for clock drift.
     `send_bound_ms`
-        Longest time a start may spend between the check of the proof and the upstream.
+        Maximum time between the check of the ownership proof and the arrival of a start at the
+        upstream.
     `heartbeat_ms`
-        Interval of heartbeats within the data centre.
+        Interval between heartbeats within the data centre.
     `remote_heartbeat_ms`
-        Interval of heartbeats to other data centres.
+        Interval between heartbeats to other data centres.
     `task_lease_ms`
-        Lease of a task at its upstream. Longer than the process lease and a claim together, so
-        that running tasks survive the death of their shard's owner.
+        Duration of a task's lease at its upstream. Longer than the process lease and a claim
+        together, so that running tasks survive the loss of their shard's owner.
     `usage_ms`
-        Interval at which the usage of the tasks is read.
+        Interval at which the resource usage of tasks is read.
     `drain_ms`
-        Wait between becoming not ready and refusing new requests.
+        Delay between becoming not ready and rejecting new requests.
     """
 
     lease_ttl_ms: int = 6_000
@@ -153,7 +155,7 @@
     """Metrics and traces.
 
     `metrics`
-        Whether ``/metrics`` of the admin API carries the scheduler's metrics.
+        Whether ``/metrics`` of the admin API includes the scheduler's metrics.
     `traces`
         ``none``, or ``log`` for a JSON line per finished span.
     """
@@ -166,9 +168,9 @@
     """A data centre of the cell.
 
     `region`
-        Name of its region; decisions do not use it.
+        Name of its region, for information; scheduling does not use it.
     `distance_ms`
-        Network delay to other data centres one way, by name.
+        One-way network delay to other data centres, by name.
     """
 
     region: str = "default"
@@ -187,9 +189,10 @@
     `peer_address`
         ``ip:port`` to listen on for other entry VMs.
     `seed_peers`
-        ``ip:port`` of other entry VMs, asked for tables and members while the store is away.
+        ``ip:port`` of other entry VMs, asked for tables and members while the store is
+        unavailable.
     `size`
-        Weight of this VM, relative to the others, in the choice of shard owners.
+        Weight of this VM relative to the others when shard owners are chosen.
     """
 
     vm: VmId
@@ -209,7 +212,7 @@
 
 
 def load_settings(path: Path) -> Result[Settings, SettingsError]:
-    """Reads and checks a settings file."""
+    """Reads and validates a settings file."""
     try:
         return Ok(msgspec.yaml.decode(path.read_bytes(), type=Settings))
     except OSError as error:
--- a/hornbeamramp/settings_docs.py
+++ b/hornbeamramp/settings_docs.py
@@ -1,4 +1,4 @@
-"""Page on the settings, from the settings model and its docstrings."""
+"""Generates the reference page of the settings from the models and their docstrings."""
 
 import inspect
 import re
@@ -12,7 +12,7 @@
 
 __all__ = ["configuration_page", "field_meanings"]
 
-HEAD = """# Settings
+INTRODUCTION = """# Settings
 
 One YAML file for each entry process, named by `hornbeamramp serve --config FILE`. Generated from
 hornbeamramp/settings.py by `hornbeamramp docs configuration`. An unknown field is an error;
@@ -22,22 +22,22 @@
 
 
 def configuration_page() -> str:
-    """Returns docs/configuration.md."""
-    parts = [HEAD]
-    waiting: list[tuple[str, type[msgspec.Struct]]] = [("", Settings)]
-    while waiting:
-        path, model = waiting.pop(0)
+    """Returns the text of docs/configuration.md."""
+    parts = [INTRODUCTION]
+    pending: list[tuple[str, type[msgspec.Struct]]] = [("", Settings)]
+    while pending:
+        path, model = pending.pop(0)
         parts.append(_section(path, model))
         for field in msgspec.structs.fields(model):
             section = _section_type(field.type)
             if section is not None:
-                inside = f"{field.name}.*" if _is_mapping(field.type) else field.name
-                waiting.append((f"{path}.{inside}".lstrip("."), section))
+                subpath = f"{field.name}.*" if _is_mapping(field.type) else field.name
+                pending.append((f"{path}.{subpath}".lstrip("."), section))
     return "\n".join(parts)
 
 
 def field_meanings(model: type) -> dict[str, str]:
-    """Returns the meaning of each field that the docstring of ``model`` explains."""
+    """Returns the description of each field that the docstring of ``model`` documents."""
     meaning_by_field: dict[str, str] = {}
     names: list[str] = []
     for line in inspect.getdoc(model).splitlines()[1:]:
@@ -58,8 +58,8 @@
     lines += ["| field | type | default | meaning |", "|---|---|---|---|"]
     for field in msgspec.structs.fields(model):
         meaning = meaning_by_field.get(field.name, "").replace("``", "`")
-        kind = _type_name(field.type).replace("|", "or")
-        lines.append(f"| `{field.name}` | {kind} | {_default(field)} | {meaning} |")
+        type_name = _type_name(field.type).replace("|", "or")
+        lines.append(f"| `{field.name}` | {type_name} | {_default(field)} | {meaning} |")
     return "\n".join([*lines, ""])
 
 
@@ -76,29 +76,29 @@
     return f"`{msgspec.json.encode(value).decode()}`"
 
 
-def _type_name(kind: Any) -> str:
-    if isinstance(kind, typing.NewType):
-        return _type_name(kind.__supertype__)
-    if _section_type(kind) is not None:
-        return "mapping of sections" if _is_mapping(kind) else "section"
-    if isinstance(kind, types.UnionType):
-        parts = [_type_name(part) for part in typing.get_args(kind) if part is not type(None)]
+def _type_name(field_type: Any) -> str:
+    if isinstance(field_type, typing.NewType):
+        return _type_name(field_type.__supertype__)
+    if _section_type(field_type) is not None:
+        return "mapping of sections" if _is_mapping(field_type) else "section"
+    if isinstance(field_type, types.UnionType):
+        parts = [_type_name(part) for part in typing.get_args(field_type) if part is not type(None)]
         return " or ".join(parts)
-    if typing.get_origin(kind) is dict:
-        key, value = typing.get_args(kind)
+    if typing.get_origin(field_type) is dict:
+        key, value = typing.get_args(field_type)
         return f"mapping of {_type_name(key)} to {_type_name(value)}"
     return {"str": "text", "int": "integer", "float": "number", "bool": "true or false"}.get(
-        kind.__name__, kind.__name__
+        field_type.__name__, field_type.__name__
     )
 
 
-def _is_mapping(kind: Any) -> bool:
-    return typing.get_origin(kind) is dict
+def _is_mapping(field_type: Any) -> bool:
+    return typing.get_origin(field_type) is dict
 
 
-def _section_type(kind: Any) -> type[msgspec.Struct] | None:
-    """Returns the section model of a field, also of an optional one or of a mapping's values."""
-    for part in (kind, *typing.get_args(kind)):
+def _section_type(field_type: Any) -> type[msgspec.Struct] | None:
+    """Returns the section model of a field type, including optional types and mapping values."""
+    for part in (field_type, *typing.get_args(field_type)):
         if isinstance(part, type) and issubclass(part, msgspec.Struct):
             return part
     return None
--- a/hornbeamramp/states.py
+++ b/hornbeamramp/states.py
@@ -17,7 +17,7 @@
 
 
 class Band(IntEnum):
-    """Urgency of a job; a lower value is served first."""
+    """Priority band of a job; a lower value is served first."""
 
     URGENT = 0
     SERVICE = 1
@@ -78,7 +78,7 @@
 
 
 class ProofKind(Enum):
-    """What an owner's right to start work rests on."""
+    """Kind of proof by which an owner of a shard may start tasks."""
 
     STORE = "store"
     PEERS = "peers"
--- a/hornbeamramp/tables.py
+++ b/hornbeamramp/tables.py
@@ -1,4 +1,4 @@
-"""The operators' two tables, routes and pools, and the checks on their join."""
+"""The two tables that operators edit, routes and pools, and the check of their references."""
 
 from collections.abc import Mapping
 
@@ -22,12 +22,12 @@
 
 
 class Quota(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a team may hold in a pool at one time in one data centre.
+    """Quota of a team in a pool, separately for each data centre.
 
     `weight`
-        Share relative to other teams of the same band; more than 0.
+        Share relative to other teams of the same band; greater than 0.
     `limit`
-        Most resources in use at once, or ``None`` for no limit.
+        Maximum resources in use at once, or ``None`` for no limit.
     """
 
     weight: float = 1.0
@@ -39,7 +39,7 @@
 
 
 class PoolUpstream(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An upstream of a pool: where it answers and in which data centre it stands."""
+    """An upstream of a pool: its address and its data centre."""
 
     id: str
     data_centre: DataCentreId
@@ -61,7 +61,7 @@
 
 
 class Route(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A row of the table of routes: names a kind of job and the pool that runs it.
+    """A row of the table of routes: a kind of job and the pool that runs it.
 
     `kind`
         ``batch``, ``service`` or ``gang``.
@@ -85,13 +85,13 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One accepted change: a row written (``route`` or ``pool``) or deleted (neither set).
+    """One accepted change: a row written (``route`` or ``pool`` is set) or deleted (neither is).
 
     `revision`
         Revision of the tables after the change, which becomes the version of the row.
     `digest`
-        Digest over this change and the digest of the change before it. Two chains of changes
-        with the same digest at a revision are the same up to it.
+        Digest over this change and the digest of the previous change. Two chains of changes with
+        the same digest at a revision are identical up to that revision.
     """
 
     id: ChangeId
@@ -104,7 +104,7 @@
 
 
 class TableError(msgspec.Struct, frozen=True):
-    """A change that would break the join of the tables. ``names`` are the rows in the way."""
+    """A change that would leave routes without their pool. ``names`` are these routes."""
 
     message: str
     names: list[str] = []
@@ -132,7 +132,7 @@
         return self.pool_by_name.get(pool), self.pool_version_by_name.get(pool)
 
     def apply(self, change: Change) -> "Tables":
-        """Returns the tables with the change applied. Does not check the join."""
+        """Returns the tables with the change applied. Does not check references."""
         routes, route_versions = dict(self.route_by_name), dict(self.route_version_by_name)
         pools, pool_versions = dict(self.pool_by_name), dict(self.pool_version_by_name)
         rows, versions, row = (
@@ -152,7 +152,7 @@
 def check_join(
     route_by_name: Mapping[RouteName, Route], pool_by_name: Mapping[PoolName, Pool]
 ) -> Result[None, TableError]:
-    """Checks that each route names a pool that exists."""
+    """Checks that the pool of each route exists."""
     missing = sorted(r.name for r in route_by_name.values() if r.pool not in pool_by_name)
     if missing:
         pools = sorted({route_by_name[RouteName(name)].pool for name in missing})
--- a/hornbeamramp/telemetry.py
+++ b/hornbeamramp/telemetry.py
@@ -49,7 +49,7 @@
     "connections": ("hornbeamramp.connections", "1", "Open connections by listener"),
 }
 
-# Name, unit and description of each counter that is kept elsewhere and read like a gauge.
+# Name, unit and description of each observable counter; read when the metrics are collected.
 READ_COUNTERS = {
     "store_calls": ("hornbeamramp.store.calls", "1", "Store calls by kind"),
 }
@@ -58,7 +58,7 @@
 
 
 class Metrics:
-    """Instruments of the process, one attribute for each row of the counters and histograms."""
+    """Instruments of the process, one attribute for each key of `COUNTERS` and `HISTOGRAMS`."""
 
     def __init__(self) -> None:
         meter = metrics.get_meter("hornbeamramp")
@@ -71,7 +71,7 @@
         self._meter = meter
 
     def observe(self, attribute: str, read: Callable[[], Iterable[Reading]]) -> None:
-        """Sets the function that reads a gauge or a counter: values with their attributes."""
+        """Registers the callback of a gauge or observable counter: values with their attributes."""
         name, unit, description = {**GAUGES, **READ_COUNTERS}[attribute]
 
         def callback(_: metrics.CallbackOptions) -> list[metrics.Observation]:
@@ -84,7 +84,7 @@
 
 
 class LogSpanExporter(SpanExporter):
-    """Writes each finished span as a JSON log line of the part ``trace``."""
+    """Writes each finished span as a JSON log line of the logger ``trace``."""
 
     def __init__(self) -> None:
         self._log = logbook.Logger("trace")
@@ -100,7 +100,7 @@
 
 
 def setup_metrics(vm: str) -> None:
-    """Installs the reader whose text `prometheus_text` returns. To be called once in a process."""
+    """Installs the metric reader behind `prometheus_text`. Must be called once per process."""
     provider = MeterProvider(
         [PrometheusMetricReader(scope_info_enabled=False)], resource=_resource(vm)
     )
@@ -108,7 +108,7 @@
 
 
 def setup_telemetry(settings: Settings) -> None:
-    """Installs the providers named in the settings. To be called once in a process."""
+    """Installs the providers enabled in the settings. Must be called once per process."""
     resource = _resource(settings.vm)
     if settings.telemetry.metrics:
         setup_metrics(settings.vm)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -24,13 +24,13 @@
 
 @pytest.fixture
 def run() -> Callable[[Coroutine[Any, Any, Any]], Any]:
-    """Runs a coroutine to its end in a new event loop."""
+    """Runs a coroutine until it completes, in a new event loop."""
     return asyncio.run
 
 
 @pytest.fixture
 def in_cell(clock, store, run):
-    """Runs a scenario with a cell and stops the cell's processes after it."""
+    """Runs a scenario with a cell and stops the cell's processes afterwards."""
 
     def start(scenario, **options):
         async def main():
@@ -56,7 +56,7 @@
 
 
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Expects exactly the listed tests to fail; one that passes again fails the run."""
+    """Expects the listed tests to fail; a listed test that passes fails the run."""
     listed = set(known_red())
     marked = {i.nodeid for i in items if i.get_closest_marker("known_red")}
     if marked - listed:
--- a/tests/keys.py
+++ b/tests/keys.py
@@ -1,4 +1,4 @@
-"""Makes certificate authorities and key files for tests of TLS."""
+"""Certificate authorities and key files for tests of TLS."""
 
 import datetime
 import ipaddress
@@ -15,7 +15,7 @@
 
 
 class Authority:
-    """A certificate authority that signs for 127.0.0.1; files are written below ``directory``."""
+    """A certificate authority that issues certificates for 127.0.0.1, in files in ``directory``."""
 
     def __init__(self, directory: Path, name: str) -> None:
         self._directory = directory
@@ -26,7 +26,7 @@
         self.ca_file.write_bytes(self._certificate.public_bytes(serialization.Encoding.PEM))
 
     def issue(self, name: str) -> TlsSettings:
-        """Writes a key and its certificate and returns settings that name them."""
+        """Writes a key and its certificate and returns TLS settings with their paths."""
         key = ec.generate_private_key(ec.SECP256R1())
         certificate = self._sign(name, key, is_authority=False)
         key_file = self._directory / f"{self._name}-{name}-key.pem"
--- a/tests/listeners.py
+++ b/tests/listeners.py
@@ -47,14 +47,14 @@
     def admin(
         self, method: str, path: str, body: Any = None, token: str | None = None, **headers: str
     ) -> Answer:
-        """Sends a request to the admin API with the right token, or with ``token``."""
+        """Sends a request to the admin API with the cell's token, or with ``token``."""
         headers["Authorization"] = f"Bearer {self.cell.token if token is None else token}"
         return request(self.entry.admin, method, path, body, headers)
 
 
 @contextmanager
 def running_cell(cell: LocalCell, routes: list[dict[str, Any]]) -> Iterator[RunningCell]:
-    """Starts the cell, creates its tables, waits until it serves, and ends it afterwards."""
+    """Starts the cell, creates its tables, waits until it serves, and stops it afterwards."""
     with asyncio.Runner() as runner:
         runner.run(cell.start())
         try:
@@ -68,7 +68,7 @@
 def request(
     port: int, method: str, path: str, body: Any = None, headers: dict[str, str] | None = None
 ) -> Answer:
-    """Sends one request. Bytes are sent as they are, other bodies as JSON.
+    """Sends one request. A body of type ``bytes`` is sent unchanged, other bodies as JSON.
 
     Underscores in header names stand for hyphens.
     """
--- a/tests/test_observability.py
+++ b/tests/test_observability.py
@@ -1,4 +1,4 @@
-"""Tests of TLS on the listeners, logs and traces, with one cell at the most detailed settings."""
+"""Tests of TLS on the listeners, logs and traces, with one cell at the most verbose settings."""
 
 import json
 import ssl
@@ -55,7 +55,7 @@
 
 @pytest.fixture(scope="module")
 def lines(cell):
-    """Returns all log lines after a traced, forwarded job and some refused requests."""
+    """Returns all log lines after a traced, forwarded job and a rejected request."""
     entry = entry_that_forwards(cell)
     body = {"route": "ticket", "payload": PAYLOAD}
     status, _ = cell.run(cell.cell.submit(entry, body, {"traceparent": TRACEPARENT}))
@@ -71,7 +71,7 @@
 
 
 def test_listeners_use_the_keys(cell):
-    """Guards against a listener that stays plain HTTP although keys are named."""
+    """Guards against a listener that serves plain HTTP although key files are configured."""
     trust = ssl.create_default_context(cafile=cell.tls.ca_file)
     for port in (cell.entry.callers, cell.entry.admin):
         certificate = ssl.get_server_certificate(("127.0.0.1", port), ca_certs=cell.tls.ca_file)
@@ -81,19 +81,19 @@
 
 
 def test_log_lines_are_json_with_a_part(lines):
-    """Guards against lines that a log collector can't read, for instance of a library."""
+    """Guards against lines that a log collector can't parse, for example from a library."""
     assert lines
     for line in lines:
         assert {"time", "level", "part", "message"} <= line.keys()
 
 
 def test_messages_do_not_repeat_the_part(lines):
-    """Guards against prefixes such as ``member: member:`` in the text format."""
+    """Guards against repeated prefixes such as ``member: member:`` in the text format."""
     assert [x["message"] for x in lines if x["message"].startswith(f"{x['part']}:")] == []
 
 
 def test_one_trace_leads_to_the_upstream(cell, lines):
-    """Guards against a hop that drops the caller's trace context."""
+    """Guards against a hop that does not propagate the caller's trace context."""
     spans = [json.loads(x["message"]) for x in lines if x["part"] == "trace"]
     in_trace = {x["name"] for x in spans if x["context"]["trace_id"] == f"0x{TRACE_ID}"}
     assert in_trace >= SPANS
@@ -103,7 +103,7 @@
 
 
 def test_secrets_are_not_logged(cell, lines):
-    """Guards against tokens, keys and payloads in logs, at the most detailed level."""
+    """Guards against tokens, keys and payloads in logs, at the most verbose level."""
     text = json.dumps(lines)
     with open(cell.tls.key_file) as file:
         key_line = file.read().splitlines()[1]
--- a/tests/test_rendezvous.py
+++ b/tests/test_rendezvous.py
@@ -13,14 +13,14 @@
 
 
 def test_share_follows_size():
-    """Guards against large VMs that own no more than small ones."""
+    """Guards against large VMs that own no more shards than small ones."""
     first = Counter(rank(shard, sizes(a=1.0, b=1.0, c=4.0))[0] for shard in SHARDS)
     assert 0.62 < first["c"] / len(SHARDS) < 0.72
     assert 0.13 < first["a"] / len(SHARDS) < 0.20
 
 
 def test_loss_of_a_member_moves_only_its_shards():
-    """Guards against a crash that reassigns the shards of members that are well."""
+    """Guards against a crash that reassigns the shards of healthy members."""
     for shard in SHARDS[:300]:
         before = rank(shard, sizes(a=1.0, b=2.0, c=3.0))
         after = rank(shard, sizes(a=1.0, b=2.0))
@@ -28,5 +28,5 @@
 
 
 def test_members_without_size_are_left_out():
-    """Guards against a candidate of which only a heartbeat is known."""
+    """Guards against ranking a member whose size is unknown, as only its heartbeat was seen."""
     assert rank(SHARDS[0], sizes(a=0.0, b=1.0)) == ["b"]
--- a/tests/test_settings_docs.py
+++ b/tests/test_settings_docs.py
@@ -1,4 +1,4 @@
-"""Tests of the page on the settings."""
+"""Tests of the generated settings page."""
 
 from pathlib import Path
 
@@ -12,14 +12,14 @@
 
 
 def test_page_is_up_to_date():
-    """Guards against a setting that is changed without its page."""
+    """Guards against a change of the settings without a regenerated page."""
     page = Path(__file__).parent.parent / "docs" / "configuration.md"
     assert page.read_text() == configuration_page()
 
 
 @pytest.mark.parametrize("model", MODELS, ids=lambda model: model.__name__)
 def test_each_setting_is_explained(model):
-    """Guards against a setting without a meaning, and a meaning of a setting that is gone."""
+    """Guards against an undocumented setting, and documentation of a removed one."""
     fields = {field.name: field.type for field in msgspec.structs.fields(model)}
     sections = {name for name, kind in fields.items() if "Settings" in str(kind)}
     assert field_meanings(model).keys() == fields.keys() - sections
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -1,4 +1,4 @@
-"""Tests of TLS between entry processes, and of the check of the key files."""
+"""Tests of TLS between entry processes, and of the validation of the key files."""
 
 from datetime import timedelta
 from pathlib import Path
@@ -22,7 +22,7 @@
 
 
 async def ask(server_tls, client_tls):
-    """Returns the reply of a server to a client, each with its own key files."""
+    """Sends a request to a server and returns the reply; each side has its own key files."""
 
     async def handler(request):
         return messages.GetJobReply(JobState.RUNNING)
@@ -48,7 +48,7 @@
 def test_peer_without_a_certificate_of_the_authority_is_refused(run, authority, tmp_path):
     """Guards against a server that encrypts but lets anyone submit jobs.
 
-    The client trusts the server's authority, so that only its own certificate is at fault.
+    The client trusts the server's authority, so only its own certificate can be rejected.
     """
     foreign = Authority(tmp_path, "foreign").issue("vm-2")
     foreign = msgspec.structs.replace(foreign, ca_file=str(authority.ca_file))
@@ -58,7 +58,7 @@
 
 
 def test_server_with_a_certificate_of_another_authority_is_refused(run, authority, tmp_path):
-    """Guards against sending jobs to a machine that only took over an address."""
+    """Guards against sending jobs to a machine that only has the address of a peer."""
     foreign = Authority(tmp_path, "foreign").issue("vm-1")
     foreign = msgspec.structs.replace(foreign, ca_file=str(authority.ca_file))
     with pytest.raises(UnreachableError) as caught:
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("field", ["certificate_file", "key_file", "ca_file"])
 def test_check_reports_a_missing_key_file(authority, tmp_path, field):
-    """Guards against learning of a missing file when the process is restarted."""
+    """Guards against a missing file that is only noticed when the process is restarted."""
     tls = msgspec.structs.replace(authority.issue("vm-1"), **{field: str(tmp_path / "gone.pem")})
     message = check_file(settings_file(tmp_path, tls)).err_value
     assert f"$.tls.{field}" in message
@@ -105,14 +105,14 @@
 
 
 def test_check_reports_a_key_of_another_certificate(authority, tmp_path):
-    """Guards against two files that can be read but don't belong together."""
+    """Guards against a key file and a certificate file that don't match."""
     other = authority.issue("vm-2")
     tls = msgspec.structs.replace(authority.issue("vm-1"), key_file=other.key_file)
     assert "no pair" in check_file(settings_file(tmp_path, tls)).err_value
 
 
 def test_check_reports_a_missing_or_empty_token(authority, tmp_path):
-    """Guards against an admin listener that can't start, or opens with an empty token."""
+    """Guards against an admin listener that can't start, or accepts an empty token."""
     tls = authority.issue("vm-1")
     admin = {"address": "127.0.0.1:0", "token_file": str(tmp_path / "token")}
     file = settings_file(tmp_path, tls, admin=admin)
