--- a/hornbeamramp/logs.py
+++ b/hornbeamramp/logs.py
@@ -20,7 +20,7 @@
 
 
 def json_line(record: logbook.LogRecord, handler: logbook.Handler, vm: str = "") -> str:
-    """Formats a record as one JSON object; ``part`` is the name of the logger."""
+    """Formats a record as one JSON object: time, VM, level, logger, message, trace id, extras."""
     line = {
         "time": record.time.isoformat() + "Z",
         **({"vm": vm} if vm else {}),
--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomized soak: the real program as separate processes, with faults injected from outside."""
+"""Randomized soak test of real processes, with faults injected from outside."""
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -6,7 +6,7 @@
 
 from cyclopts import App
 
-from tests.soak.run import play
+from tests.soak.run import run_seed
 
 app = App(name="tests.soak", help="Soak of real processes under random faults.")
 
@@ -15,24 +15,24 @@
 def main(
     seeds: int = 10, first: int = 1, seconds: float = 20.0, folder: Path = Path("build/soak")
 ) -> None:
-    """Plays seeds one after the other; the logs of those that fail are kept.
+    """Runs seeds one after another and keeps the logs of those that fail.
 
     Parameters
     ----------
     seeds
-        How many to play.
+        Number of seeds.
     first
         The first seed.
     seconds
-        For how long faults are injected.
+        Duration of the fault injection.
     folder
-        Where the VMs' logs go.
+        Folder for the logs of the VMs.
     """
     failed = []
     for seed in range(first, first + seeds):
         logs = folder.resolve() / f"seed-{seed}"
         shutil.rmtree(logs, ignore_errors=True)
-        outcome = play(seed, seconds, logs)
+        outcome = run_seed(seed, seconds, logs)
         print(
             f"seed {seed}: {outcome.accepted} accepted, {outcome.refused} refused, "
             f"{outcome.starts} starts, {outcome.faults} faults, {len(outcome.problems)} problems",
--- a/tests/soak/callers.py
+++ b/tests/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers of the soak: they keep their connections, repeat what had no definite answer, and ask."""
+"""Callers of the soak test: they submit, retry and cancel jobs and check the reported states."""
 
 import asyncio
 import random
@@ -15,11 +15,11 @@
 
 DEADLINE_S = 3.0
 TERMINAL = {"completed", "failed", "cancelled"}
-NO_ANSWER = (aiohttp.ClientError, TimeoutError, OSError)
+NO_RESPONSE_ERRORS = (aiohttp.ClientError, TimeoutError, OSError)
 
 
-def wire_job(spec: JobSpec) -> dict:
-    """Returns a job as callers write it."""
+def encode_job(spec: JobSpec) -> dict:
+    """Returns a job in the format of the caller API."""
     steps = [
         {
             "count": step.count,
@@ -37,15 +37,17 @@
 
 
 class Callers:
-    """Submits jobs until told to stop, and checks what is said of each.
+    """Submits jobs over kept connections, and checks the states that are reported of them.
+
+    Requests without a definite response are retried.
 
     `accepted`, `cancelled`
-        Jobs with a definite acceptance, and those that a cancellation may have reached.
+        Jobs whose acceptance was confirmed, and jobs that may have been cancelled.
     """
 
-    def __init__(self, cell: SoakCell, luck: random.Random) -> None:
+    def __init__(self, cell: SoakCell, rng: random.Random) -> None:
         self._cell = cell
-        self._luck = luck
+        self._rng = rng
         self._queue_by_job: dict[str, str] = {}
         self.accepted: set[str] = set()
         self.cancelled: set[str] = set()
@@ -59,18 +61,18 @@
             while loop.time() < end:
                 number += 1
                 group.create_task(self._call(session, f"{number:016x}"))
-                await asyncio.sleep(self._luck.uniform(0.05, 0.4))
+                await asyncio.sleep(self._rng.uniform(0.05, 0.4))
 
     async def _call(self, session: aiohttp.ClientSession, job_id: str) -> None:
-        queue = self._luck.choice(sorted(PREFIX_BY_QUEUE))
-        spec = random_spec(self._luck)
+        queue = self._rng.choice(sorted(PREFIX_BY_QUEUE))
+        spec = random_spec(self._rng)
         identity = JobId(job_id)
         self._cell.fleet.spec_by_job[identity] = spec
         self._cell.queue_by_job[identity] = queue
         self._queue_by_job[job_id] = queue
         is_refused = True
-        for _ in range(self._luck.randint(1, 4)):
-            status = await self._send(session, "POST", job_id, wire_job(spec))
+        for _ in range(self._rng.randint(1, 4)):
+            status = await self._send(session, "POST", job_id, encode_job(spec))
             if status is not None and 200 <= status < 300:
                 self.accepted.add(job_id)
                 break
@@ -79,11 +81,11 @@
         if job_id not in self.accepted:
             if is_refused:
                 self._cell.fleet.refused.add(identity)
-        elif self._luck.random() < 0.15:
+        elif self._rng.random() < 0.15:
             await self._cancel(session, job_id)
 
     async def _cancel(self, session: aiohttp.ClientSession, job_id: str) -> None:
-        # Without a definite answer the cancellation may have taken effect.
+        # A cancellation without a definite response may have taken effect.
         self.cancelled.add(job_id)
         status = await self._send(session, "DELETE", job_id)
         if status == 200:
@@ -95,11 +97,11 @@
     async def _send(
         self, session: aiohttp.ClientSession, method: str, job_id: str, body: object = None
     ) -> int | None:
-        vm = self._luck.choice(list(self._cell.vm_by_name.values()))
-        status, _ = await self._ask(session, vm.frontend, method, job_id, body)
+        vm = self._rng.choice(list(self._cell.vm_by_name.values()))
+        status, _ = await self._request(session, vm.frontend, method, job_id, body)
         return status
 
-    async def _ask(
+    async def _request(
         self, session: aiohttp.ClientSession, frontend: str, method: str, job_id: str, body: object
     ) -> tuple[int | None, bytes]:
         path = f"{PREFIX_BY_QUEUE[self._queue_by_job[job_id]]}{job_id}"
@@ -111,19 +113,19 @@
                     method, f"http://{frontend}{path}", data=data, headers=headers
                 ) as response:
                     return response.status, await response.read()
-        except NO_ANSWER:
+        except NO_RESPONSE_ERRORS:
             return None, b""
 
-    async def settle(self, seconds: float) -> None:
-        """Asks for all accepted jobs until they have ended, and checks how."""
+    async def wait_for_ends(self, seconds: float) -> None:
+        """Polls all accepted jobs until they have ended, and checks their final states."""
         loop = asyncio.get_running_loop()
         end = loop.time() + seconds
         open_jobs = set(self.accepted)
         async with aiohttp.ClientSession() as session:
             while open_jobs and loop.time() < end:
-                vm = self._luck.choice(list(self._cell.vm_by_name.values()))
+                vm = self._rng.choice(list(self._cell.vm_by_name.values()))
                 for job_id in sorted(open_jobs):
-                    status, body = await self._ask(session, vm.frontend, "GET", job_id, None)
+                    status, body = await self._request(session, vm.frontend, "GET", job_id, None)
                     if status == 410:
                         self.problems.append(f"{job_id} was accepted and is not known")
                         open_jobs.discard(job_id)
@@ -141,7 +143,7 @@
         steps = fleet.spec_by_job[JobId(job_id)].steps
         names = [f"{job_id}.0.{n}.{i}" for n, step in enumerate(steps) for i in range(step.count)]
         if state == "completed":
-            # One end of a gang's member stands for all of them.
+            # The end of one member of a gang counts for all of them.
             enough = any if steps[0].gang else all
             if not enough(name in fleet.done for name in names):
                 self.problems.append(f"{job_id} is shown as completed and is not")
--- a/tests/soak/cell.py
+++ b/tests/soak/cell.py
@@ -1,4 +1,4 @@
-"""A cell of real processes on loopback: entry VMs, and the model's store, workers and advice."""
+"""A cell on loopback: real processes of entry VMs, and the model's store, workers and advice."""
 
 import asyncio
 import contextlib
@@ -29,13 +29,13 @@
 ADVISED_QUEUE = "gate"
 MAX_ATTEMPTS = 2
 CAPACITY = Resources(8000, 8000, 4, 0, 0)
-# A process is up within this time on a busy machine; starting takes half a second on an idle one.
-START_LIMIT_S = 20.0
-# A signal that comes before the interpreter runs its first line can't be handled by the program.
+# Enough for a process to start on a busy machine; on an idle one it takes half a second.
+START_TIMEOUT_S = 20.0
+# The program can't handle signals that arrive before the interpreter runs its first line.
 INTERPRETER_START_S = 1.0
-# The users' grace between SIGTERM and the kill, and some for a busy machine.
+# Grace period of the platform between SIGTERM and SIGKILL, plus a margin for a busy machine.
 GRACE_S = 6
-STOP_LIMIT_S = GRACE_S + 4.0
+STOP_TIMEOUT_S = GRACE_S + 4.0
 
 
 class SoakVm:
@@ -48,13 +48,13 @@
         self.frontend = f"{ip}:8149"
         self.store_link = Link(ip, cell.store_address)
         self.advice_link = Link(ip, cell.advice_address)
-        # Held while the process is being replaced or paused, so that there is one at a time.
+        # Held while the process is restarted or paused, so that only one process runs at a time.
         self.lock = asyncio.Lock()
         self.problems: list[str] = []
         self._folder = cell.folder
-        self._note = cell.note
+        self._log_event = cell.log_event
         self._process: asyncio.subprocess.Process | None = None
-        # When the process was started, later by the time for which it was paused.
+        # Start time of the process, shifted by the time for which it was paused.
         self._started_at = 0.0
         self._paused_at = 0.0
 
@@ -76,7 +76,7 @@
                 stdout=log,
                 stderr=log,
             )
-        self._note(f"{self.name} pid {self._process.pid} started")
+        self._log_event(f"{self.name} pid {self._process.pid} started")
 
     def _settings(self) -> str:
         return f"""
@@ -96,53 +96,53 @@
 grace-s = {GRACE_S}
 """
 
-    def send(self, number: Signals) -> None:
-        """Sends a signal to this process, if it has not ended."""
+    def send_signal(self, signal: Signals) -> None:
+        """Sends a signal to the process, unless it has ended."""
         if self._process is not None and self._process.returncode is None:
-            self._note(f"{self.name} pid {self._process.pid} gets {number.name}")
-            self._process.send_signal(number)
-            if number is Signals.SIGSTOP:
+            self._log_event(f"{self.name} pid {self._process.pid} gets {signal.name}")
+            self._process.send_signal(signal)
+            if signal is Signals.SIGSTOP:
                 self._paused_at = time.monotonic()
-            elif number is Signals.SIGCONT and self._paused_at:
+            elif signal is Signals.SIGCONT and self._paused_at:
                 self._started_at += time.monotonic() - self._paused_at
                 self._paused_at = 0.0
 
-    async def end(self, number: Signals) -> None:
-        """Ends the process by a signal and notes an end that was not asked for."""
+    async def stop_process(self, signal: Signals) -> None:
+        """Stops the process with a signal and records an unexpected exit."""
         process = self._process
         if process is None:
             return
         if process.returncode is not None:
             self.problems.append(f"{self.name} ended by itself with {process.returncode}")
             return
-        asked_at = time.monotonic()
-        self.send(number)
+        signalled_at = time.monotonic()
+        self.send_signal(signal)
         try:
-            async with asyncio.timeout(STOP_LIMIT_S):
+            async with asyncio.timeout(STOP_TIMEOUT_S):
                 await process.wait()
         except TimeoutError:
-            self.problems.append(f"{self.name} still runs {STOP_LIMIT_S} s after {number.name}")
-            self.send(Signals.SIGKILL)
+            self.problems.append(f"{self.name} still runs {STOP_TIMEOUT_S} s after {signal.name}")
+            self.send_signal(Signals.SIGKILL)
             await process.wait()
-        self._note(f"{self.name} pid {process.pid} ended with {process.returncode}")
-        allowed = {0, -Signals.SIGKILL}
-        if asked_at - self._started_at < INTERPRETER_START_S:
-            allowed |= {-Signals.SIGTERM, -Signals.SIGHUP}
-        if number is Signals.SIGTERM and process.returncode not in allowed:
+        self._log_event(f"{self.name} pid {process.pid} ended with {process.returncode}")
+        allowed_codes = {0, -Signals.SIGKILL}
+        if signalled_at - self._started_at < INTERPRETER_START_S:
+            allowed_codes |= {-Signals.SIGTERM, -Signals.SIGHUP}
+        if signal is Signals.SIGTERM and process.returncode not in allowed_codes:
             self.problems.append(f"{self.name} ended with {process.returncode} after SIGTERM")
 
     async def stop(self) -> None:
-        self.send(Signals.SIGCONT)
-        await self.end(Signals.SIGKILL)
+        self.send_signal(Signals.SIGCONT)
+        await self.stop_process(Signals.SIGKILL)
         await self.store_link.stop()
         await self.advice_link.stop()
 
 
 class SoakCell:
-    """VMs in two data centres, workers behind a link each, and what was seen of them.
+    """VMs in two data centres, workers behind one link each, and the events seen at them.
 
     `folder`
-        Where settings and logs of the VMs are written.
+        Folder for the settings and logs of the VMs.
     """
 
     def __init__(self, folder: Path, seed: int, vms: int = 4, workers: int = 5) -> None:
@@ -160,12 +160,12 @@
         self.store_address = self.advice_address = ""
         self._runners: list = []
         self._version = 0
-        self._sizes = (vms, workers)
-        # Loopback addresses of their own, so that several cells run beside each other.
-        self._net = f"127.{os.getpid() % 200 + 20}.{seed % 250 + 1}"
+        self._vm_and_worker_count = (vms, workers)
+        # Separate loopback addresses, so that several cells can run at the same time.
+        self._subnet = f"127.{os.getpid() % 200 + 20}.{seed % 250 + 1}"
 
     async def __aenter__(self) -> "SoakCell":
-        vms, workers = self._sizes
+        vms, workers = self._vm_and_worker_count
         self.store_address = await self._serve(serve_store(self.store, page_size=500))
         self.advice_address = await self._serve(serve_advice(self.advice))
         for number in range(workers):
@@ -173,7 +173,7 @@
         self.configure()
         for number in range(vms):
             zone = "gebze" if number % 2 else "tuzla"
-            vm = SoakVm(self, f"vm{number}", f"{self._net}.{number + 10}", zone)
+            vm = SoakVm(self, f"vm{number}", f"{self._subnet}.{number + 10}", zone)
             self.vm_by_name[vm.name] = vm
         await asyncio.gather(*(vm.start() for vm in self.vm_by_name.values()))
         await self.wait_until_owned()
@@ -186,8 +186,8 @@
         for runner in self._runners:
             await runner.cleanup()
 
-    def note(self, text: str) -> None:
-        """Writes what was done from outside beside the VMs' logs, with the same time."""
+    def log_event(self, text: str) -> None:
+        """Writes an external event to a log beside those of the VMs, with the time."""
         with (self.folder / "soak.log").open("a") as log:
             log.write(f"{self.clock.now().isoformat()} {text}\n")
 
@@ -201,10 +201,10 @@
         link = Link("127.0.0.1", await self._serve(serve_worker(worker)))
         await link.start()
         self.link_by_worker[name] = link
-        self.list_worker(name)
+        self.write_worker_entry(name)
 
-    def list_worker(self, name: str, state: str = "ready") -> None:
-        """Writes a worker's entry."""
+    def write_worker_entry(self, name: str, state: str = "ready") -> None:
+        """Writes a worker's entry to the store."""
         worker = self.fleet.worker_by_name[name]
         entry = {
             "service": POOL,
@@ -220,7 +220,7 @@
     def configure(self) -> None:
         """Writes the configuration as its next version."""
         self._version += 2
-        terms = {"decide-ms": 10, "each-ms": 0.2, "valid-ms": 2000}
+        timing = {"decide-ms": 10, "each-ms": 0.2, "valid-ms": 2000}
         routes = [
             {
                 "name": name,
@@ -231,7 +231,7 @@
                 "max-attempts": MAX_ATTEMPTS,
                 "stretch": 2.0,
                 "target-completion-ms": 1000,
-                **({"advice": terms} if name == ADVISED_QUEUE else {}),
+                **({"advice": timing} if name == ADVISED_QUEUE else {}),
             }
             for name, prefix in PREFIX_BY_QUEUE.items()
         ]
@@ -241,17 +241,17 @@
     def _ticket_valid(self, task: str, worker: str, ticket: str) -> bool:
         if self.queue_by_job.get(JobId(task.split(".")[0])) != ADVISED_QUEUE:
             return True
-        # The ticket names the step as this process knows it.
+        # Tickets are issued and checked by the advice model of this process.
         return bool(ticket) and self.advice.is_valid(task, worker, ticket)
 
     def owner(self) -> SoakVm | None:
-        """Returns the VM that the store names as the pool's owner."""
+        """Returns the owner of the pool according to the store."""
         for key, item in self.store.item_by_key.items():
             if key.endswith(f"owner/{POOL}"):
                 return self.vm_by_name.get(json.loads(item.value)["vm"])
         return None
 
-    async def wait_until_owned(self, limit: timedelta = timedelta(seconds=START_LIMIT_S)) -> None:
+    async def wait_until_owned(self, limit: timedelta = timedelta(seconds=START_TIMEOUT_S)) -> None:
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(limit.total_seconds()):
                 while self.owner() is None:
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback TCP proxy whose links can be delayed, reset, refused, or silenced."""
+"""Loopback TCP proxy whose links can be delayed, reset, refused or silenced."""
 
 import asyncio
 import contextlib
@@ -10,12 +10,12 @@
 
 
 class LinkState(Enum):
-    """What happens to bytes and to new connections."""
+    """How a link treats data and new connections."""
 
     OPEN = "open"
-    # Bytes arrive after ``delay_s``, also when the sender has gone meanwhile.
+    # Data arrives after ``delay_s``, even if the sender has disconnected meanwhile.
     DELAYED = "delayed"
-    # Requests arrive, answers don't.
+    # Requests arrive, responses don't.
     ANSWERS_LOST = "answers_lost"
     SILENT = "silent"
     REFUSED = "refused"
@@ -24,8 +24,8 @@
 class Link:
     """Forwards connections on ``address`` to a target.
 
-    Connections that were open when the link was silenced stay silent after it has opened again, as
-    when something between both ends has lost track of them.
+    Connections that were open when the link was silenced stay silent after it is open again, as if
+    a middlebox had lost their state.
     """
 
     def __init__(self, host: str, target: str) -> None:
@@ -51,31 +51,33 @@
         self.state, self.delay_s = state, delay_s
         if state in (LinkState.SILENT, LinkState.ANSWERS_LOST):
             for connection in self._connections:
-                connection.lost_for_good = state
+                connection.permanent_state = state
         if state is LinkState.REFUSED:
             self.reset()
 
     def reset(self) -> None:
-        """Breaks all connections."""
+        """Resets all connections."""
         for connection in list(self._connections):
             connection.abort()
 
-    async def _on_connect(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _on_connect(
+        self, client_reader: asyncio.StreamReader, client_writer: asyncio.StreamWriter
+    ) -> None:
         if self.state is LinkState.REFUSED:
-            writer.transport.abort()
+            client_writer.transport.abort()
             return
         host, _, port = self._target.rpartition(":")
         try:
-            far_reader, far_writer = await asyncio.open_connection(host, int(port))
+            target_reader, target_writer = await asyncio.open_connection(host, int(port))
         except OSError:
-            writer.transport.abort()
+            client_writer.transport.abort()
             return
-        connection = _Connection(self, writer, far_writer)
+        connection = _Connection(self, client_writer, target_writer)
         self._connections.add(connection)
         try:
             await asyncio.gather(
-                connection.forward(reader, far_writer, is_answer=False),
-                connection.forward(far_reader, writer, is_answer=True),
+                connection.forward(client_reader, target_writer, is_answer=False),
+                connection.forward(target_reader, client_writer, is_answer=True),
             )
         finally:
             self._connections.discard(connection)
@@ -83,10 +85,12 @@
 
 
 class _Connection:
-    def __init__(self, link: Link, near: asyncio.StreamWriter, far: asyncio.StreamWriter) -> None:
+    def __init__(
+        self, link: Link, client: asyncio.StreamWriter, target: asyncio.StreamWriter
+    ) -> None:
         self._link = link
-        self._writers = (near, far)
-        self.lost_for_good: LinkState | None = None
+        self._writers = (client, target)
+        self.permanent_state: LinkState | None = None
 
     def abort(self) -> None:
         for writer in self._writers:
@@ -97,11 +101,13 @@
     ) -> None:
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
-                state = self.lost_for_good or self._link.state
+                state = self.permanent_state or self._link.state
                 if state is LinkState.DELAYED:
                     await asyncio.sleep(self._link.delay_s)
-                lost = state is LinkState.SILENT or (state is LinkState.ANSWERS_LOST and is_answer)
-                if not lost and not writer.is_closing():
+                is_lost = state is LinkState.SILENT or (
+                    state is LinkState.ANSWERS_LOST and is_answer
+                )
+                if not is_lost and not writer.is_closing():
                     writer.write(data)
                     await writer.drain()
             if writer.can_write_eof() and not writer.is_closing():
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one seed of the soak and judges it from what workers, store and callers saw."""
+"""Runs one seed of the soak test and checks what workers, store and callers observed."""
 
 import asyncio
 import random
@@ -10,14 +10,14 @@
 from tests.soak.cell import SoakCell
 from tests.soak.faults import Faults
 
-__all__ = ["Outcome", "play"]
+__all__ = ["Outcome", "run_seed"]
 
-# Longest wait of a task on an unseen worker (11 s) and of a takeover, then the work itself.
-SETTLE_S = 60.0
+# Covers the maximum wait of a task on an unseen worker (11 s), a takeover, and the tasks' work.
+END_TIMEOUT_S = 60.0
 
 
 class Outcome(msgspec.Struct, frozen=True):
-    """What one seed gave; ``problems`` is empty if all promises were kept."""
+    """Result of one seed; ``problems`` is empty if all guarantees held."""
 
     seed: int
     accepted: int
@@ -27,27 +27,27 @@
     problems: tuple[str, ...]
 
 
-def play(seed: int, seconds: float, folder: Path) -> Outcome:
-    """Plays a seed for ``seconds`` of faults. The folder keeps the VMs' logs."""
+def run_seed(seed: int, seconds: float, folder: Path) -> Outcome:
+    """Runs a seed with ``seconds`` of faults. The VMs' logs are written to ``folder``."""
     folder.mkdir(parents=True, exist_ok=True)
-    return asyncio.run(_play(seed, seconds, folder))
+    return asyncio.run(_run_seed(seed, seconds, folder))
 
 
-async def _play(seed: int, seconds: float, folder: Path) -> Outcome:
-    luck = random.Random(seed)
+async def _run_seed(seed: int, seconds: float, folder: Path) -> Outcome:
+    rng = random.Random(seed)
     async with SoakCell(folder, seed) as cell:
-        callers, faults = Callers(cell, luck), Faults(cell, random.Random(seed + 1))
+        callers, faults = Callers(cell, rng), Faults(cell, random.Random(seed + 1))
         await asyncio.gather(callers.run(seconds), faults.run(seconds))
-        await callers.settle(SETTLE_S)
+        await callers.wait_for_ends(END_TIMEOUT_S)
         cell.fleet.judge_ends()
-        # A gang may be left incomplete when orders are lost; the rule asks for calm there.
-        broken = [str(v) for v in cell.fleet.violations if v.rule != "GANG"]
-        ends = [problem for vm in cell.vm_by_name.values() for problem in vm.problems]
+        # Lost start orders may leave a gang incomplete; the GANG rule holds only without faults.
+        violations = [str(v) for v in cell.fleet.violations if v.rule != "GANG"]
+        process_problems = [problem for vm in cell.vm_by_name.values() for problem in vm.problems]
         return Outcome(
             seed,
             len(callers.accepted),
             len(cell.fleet.refused),
             len(cell.fleet.starts),
             len(faults.injected),
-            (*broken, *callers.problems, *ends),
+            (*violations, *callers.problems, *process_problems),
         )
--- a/tests/soak/test_soak.py
+++ b/tests/soak/test_soak.py
@@ -1,24 +1,25 @@
-"""A short run of the soak with fixed seeds, and every seed that has ever failed.
+"""A short run of the soak test with fixed seeds, and with every seed that has ever failed.
 
-``python -m tests.soak`` plays more seeds for longer.
+``python -m tests.soak`` runs more seeds for longer.
 """
 
 import pytest
 
-from tests.soak.run import play
+from tests.soak.run import run_seed
 
 SEEDS = (1, 2)
 SECONDS = 8.0
-# Seeds that failed once, with the seconds they were played for and the cause.
+# Seeds that failed once, with the duration of the failed run in seconds and the cause.
 FAILED_SEEDS: dict[int, tuple[float, str]] = {
     6: (15.0, "SIGTERM or SIGHUP during the imports killed the process"),
-    13: (15.0, "the soak's own: a process paused as it began was taken as started"),
+    13: (15.0, "fault of the soak test: a process paused during its start counted as started"),
 }
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-def test_promises_are_kept_under_faults_from_outside(seed, tmp_path):
-    outcome = play(seed, SECONDS, tmp_path)
+def test_guarantees_hold_under_external_faults(seed, tmp_path):
+    """Guards against jobs that are lost, run again after they ended, or reported wrongly."""
+    outcome = run_seed(seed, SECONDS, tmp_path)
     assert outcome.problems == ()
     assert outcome.accepted > 0
     assert outcome.starts > 0
@@ -27,4 +28,4 @@
 @pytest.mark.parametrize("seed", FAILED_SEEDS)
 def test_seeds_that_failed_once_pass(seed, tmp_path):
     seconds, _ = FAILED_SEEDS[seed]
-    assert play(seed, seconds, tmp_path).problems == ()
+    assert run_seed(seed, seconds, tmp_path).problems == ()
