--- a/hornbeamramp/attempts.py
+++ b/hornbeamramp/attempts.py
@@ -190,7 +190,7 @@
         )
 
     def _is_own(self, result: TaskResult, attempt_id: AttemptId) -> bool:
-        if result.attempt_id == attempt_id and result.is_whole():
+        if result.attempt_id == attempt_id and result.is_intact():
             return True
         self._metrics.discarded_answers.add(1)
         _log.warning("discarded an answer that is cut short or not for attempt {}", attempt_id)
--- a/hornbeamramp/jobs.py
+++ b/hornbeamramp/jobs.py
@@ -115,7 +115,7 @@
     length: int
     digest: str
 
-    def is_whole(self) -> bool:
+    def is_intact(self) -> bool:
         """Tells whether the payload has the stated length and digest."""
         return len(self.payload) == self.length and payload_digest(self.payload) == self.digest
 
--- a/hornbeamramp/upstreams/http.py
+++ b/hornbeamramp/upstreams/http.py
@@ -138,7 +138,7 @@
         result = TaskResult(
             attempt_id, answer.upstream_id, answer.payload, answer.length, answer.digest
         )
-        if not result.is_whole():
+        if not result.is_intact():
             message = f"answer to {attempt_id} does not have its stated length and digest"
             raise ProtocolError(Step.ANSWER, self._address, message)
         return result
--- a/tests/standins/test_worker_model.py
+++ b/tests/standins/test_worker_model.py
@@ -46,7 +46,7 @@
     assert worker.result(A) is TaskState.RUNNING
     clock.set(30 * SECOND)
     result = worker.result(A)
-    assert isinstance(result, TaskResult) and result.is_whole()
+    assert isinstance(result, TaskResult) and result.is_intact()
     assert result.payload == expected_answer(b"p") != expected_answer(b"q")
     assert events(worker) == [("start", A, 0.0, ""), ("end", A, 5000.0, "finished")]
 
--- a/tests/upstreams/test_http.py
+++ b/tests/upstreams/test_http.py
@@ -329,7 +329,7 @@
             with pytest.raises(error):
                 await client.result(A, LONG)
             await set_faults(server)
-            assert (await client.result(A, LONG)).is_whole()
+            assert (await client.result(A, LONG)).is_intact()
 
     run(scenario())
 
