--- a/hornbeamramp/checks.py
+++ b/hornbeamramp/checks.py
@@ -8,7 +8,7 @@
 from result import Err, Ok, Result
 
 from hornbeamramp.settings import Settings
-from hornbeamramp.tables import Pool, Route, check_join
+from hornbeamramp.tables import Pool, Route, check_references
 
 __all__ = ["TableFile", "check_file", "check_key_files"]
 
@@ -86,7 +86,7 @@
         twice = sorted({name for name in names if names.count(name) > 1})
         if twice:
             return Err(f"{kind} named twice: {', '.join(twice)}")
-    joined = check_join({r.name: r for r in tables.routes}, {p.name: p for p in tables.pools})
+    joined = check_references({r.name: r for r in tables.routes}, {p.name: p for p in tables.pools})
     if isinstance(joined, Err):
         error = joined.err_value
         return Err(f"{error.message} (named by {', '.join(error.names)})")
--- a/hornbeamramp/config_head.py
+++ b/hornbeamramp/config_head.py
@@ -7,7 +7,7 @@
 from result import Err
 
 from hornbeamramp.ids import ChangeId, Revision
-from hornbeamramp.tables import Change, Tables, check_join
+from hornbeamramp.tables import Change, Tables, check_references
 
 __all__ = [
     "RING_BYTES",
@@ -214,7 +214,7 @@
             continue
         forked = True
         result = merged.append(change)
-        joined = check_join(result.tables.route_by_name, result.tables.pool_by_name)
+        joined = check_references(result.tables.route_by_name, result.tables.pool_by_name)
         if (change.table, change.name) in written or isinstance(joined, Err):
             dropped.append(change)
         else:
--- a/hornbeamramp/config_proposal.py
+++ b/hornbeamramp/config_proposal.py
@@ -6,7 +6,7 @@
 from result import Err, Ok, Result
 
 from hornbeamramp.ids import ChangeId, Revision
-from hornbeamramp.tables import Change, Pool, Route, Tables, check_join
+from hornbeamramp.tables import Change, Pool, Route, Tables, check_references
 
 __all__ = [
     "BrokenJoin",
@@ -104,7 +104,7 @@
     if version != if_match:
         return VersionConflict(current, version)
     after = tables.apply(change)
-    joined = check_join(after.route_by_name, after.pool_by_name)
+    joined = check_references(after.route_by_name, after.pool_by_name)
     if isinstance(joined, Err):
         return BrokenJoin(joined.err_value.message, joined.err_value.names)
     if len(_encode(after)) > TABLES_BYTES:
--- a/hornbeamramp/tables.py
+++ b/hornbeamramp/tables.py
@@ -17,7 +17,7 @@
     "Route",
     "TableError",
     "Tables",
-    "check_join",
+    "check_references",
 ]
 
 
@@ -149,7 +149,7 @@
         return Tables(change.revision, routes, pools, route_versions, pool_versions, change.digest)
 
 
-def check_join(
+def check_references(
     route_by_name: Mapping[RouteName, Route], pool_by_name: Mapping[PoolName, Pool]
 ) -> Result[None, TableError]:
     """Checks that the pool of each route exists."""
