--- a/hornbeamramp/telemetry.py
+++ b/hornbeamramp/telemetry.py
@@ -50,7 +50,7 @@
 }
 
 # Name, unit and description of each observable counter; read when the metrics are collected.
-READ_COUNTERS = {
+OBSERVABLE_COUNTERS = {
     "store_calls": ("hornbeamramp.store.calls", "1", "Store calls by kind"),
 }
 
@@ -72,7 +72,7 @@
 
     def observe(self, attribute: str, read: Callable[[], Iterable[Reading]]) -> None:
         """Registers the callback of a gauge or observable counter: values with their attributes."""
-        name, unit, description = {**GAUGES, **READ_COUNTERS}[attribute]
+        name, unit, description = {**GAUGES, **OBSERVABLE_COUNTERS}[attribute]
 
         def callback(_: metrics.CallbackOptions) -> list[metrics.Observation]:
             return [metrics.Observation(value, attributes) for value, attributes in read()]
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 from hornbeamramp.problems import STATUS_BY_REASON
-from hornbeamramp.telemetry import COUNTERS, GAUGES, HISTOGRAMS, READ_COUNTERS
+from hornbeamramp.telemetry import COUNTERS, GAUGES, HISTOGRAMS, OBSERVABLE_COUNTERS
 
 ROOT = Path(__file__).parent.parent
 
@@ -25,7 +25,7 @@
 
 def test_each_metric_is_described():
     """Guards against a metric without an alarm, and an alarm on a metric that is gone."""
-    tables = (COUNTERS, GAUGES, HISTOGRAMS, READ_COUNTERS)
+    tables = (COUNTERS, GAUGES, HISTOGRAMS, OBSERVABLE_COUNTERS)
     names = {name for table in tables for name, _, _ in table.values()}
     described = {r[0].strip("`") for r in rows("operations.md") if "hornbeamramp." in r[0]}
     assert described == names
