--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -1,4 +1,4 @@
-"""What follows from the end of an attempt: the job's end, a retry, and what is learned from it."""
+"""Handling of the end of an attempt: the job's end, a retry, estimates, upstream health."""
 
 from collections import deque
 
@@ -19,13 +19,13 @@
 
 # A task that fails this often ends its job, even in a pool with too few upstreams to tell a faulty
 # job from a faulty upstream.
-MOST_FAILURES = 6
+MAX_TASK_FAILURES = 6
 # Retries up to this many attempts are immediate; later ones are delayed, doubling each time.
-IMMEDIATE_ATTEMPTS = 3
-FIRST_DELAY = 0.1
-LONGEST_DELAY = 10.0
+MAX_IMMEDIATE_ATTEMPTS = 3
+INITIAL_RETRY_DELAY_S = 0.1
+MAX_RETRY_DELAY_S = 10.0
 # A task that ran at least this many seconds is retried at once, however often it ran before.
-LONG_RUN = 60.0
+LONG_RUN_S = 60.0
 
 
 class AttemptEnds:
@@ -53,7 +53,7 @@
     def end(self, attempt: Attempt, end: TaskEnd, usage: Resources | None, now: float) -> Ended:
         """Frees the attempt's capacity and returns what follows for its job."""
         state = attempt.state
-        self._learn(attempt, end, usage, now)
+        self._update_estimates(attempt, end, usage, now)
         self.free(attempt, now)
         if end is not TaskEnd.NOT_STARTED:
             state.ran = True
@@ -62,14 +62,14 @@
                 return Ended.IGNORED
             self.forget(state)
             return Ended.JOB_CANCELLED if state.cancelled else Ended.IGNORED
-        faulty = self._note_health(attempt, end, now)
+        faulty = self._update_health(attempt, end, now)
         if state.standing and state.job.idempotent:
             return self._retry(attempt, end, now)
         if end is TaskEnd.SUCCEEDED:
             if state.over:
                 self.forget(state)
                 return Ended.JOB_DONE
-            self._gang_may_start(state)
+            self._requeue_pending_gang(state)
             return Ended.TASK_DONE
         if end is TaskEnd.NOT_STARTED:
             return self._retry(attempt, end, now)
@@ -77,7 +77,7 @@
             return self._fail(state, faulty)
         if end is TaskEnd.FAILED:
             state.failures += 1
-            if state.failures >= MOST_FAILURES:
+            if state.failures >= MAX_TASK_FAILURES:
                 return self._fail(state, faulty)
         return self._retry(attempt, end, now)
 
@@ -94,7 +94,7 @@
         return Ended.TASK_DONE
 
     def free(self, attempt: Attempt, now: float) -> None:
-        """Frees what an attempt holds and forgets it; without effect the second time."""
+        """Releases the capacity of an attempt and removes it; a repeated call has no effect."""
         state = attempt.state
         if attempt.id not in self._tasks.attempt_by_id:
             return
@@ -112,13 +112,13 @@
                 state.tasks_by_rack[shape.rack] -= 1
 
     def recall(self, attempt: Attempt, now: float) -> None:
-        """Takes back a start that `decide` has not returned yet; the task is queued again."""
+        """Withdraws a start that `decide` has not returned yet and queues the task again."""
         self.free(attempt, now)
         if not (attempt.state.cancelled or attempt.state.failed):
             self._retry(attempt, TaskEnd.NOT_STARTED, now)
 
     def recount(self, attempt: Attempt, now: float) -> None:
-        """Brings the shares in line with what the attempt holds after that changed."""
+        """Updates the shares after the attempt's reservation has changed."""
         amount: Vector = attempt.reservation.amount
         if amount != attempt.counted:
             self._shares.give_back(attempt.state.flow, attempt.counted, now)
@@ -127,13 +127,15 @@
             self._queue.account_changed(attempt.state.flow.account, now)
 
     def forget(self, state: JobState) -> None:
-        """Forgets a job that has ended."""
+        """Removes the state of a job that has ended."""
         if self._tasks.job_by_id.pop(state.job.id, None) is not None:
             state.flow.states -= 1
         self._deadlines.discard(state)
         self._pool.health.forget_job(state.job.id)
 
-    def _learn(self, attempt: Attempt, end: TaskEnd, usage: Resources | None, now: float) -> None:
+    def _update_estimates(
+        self, attempt: Attempt, end: TaskEnd, usage: Resources | None, now: float
+    ) -> None:
         job = attempt.state.job
         peak = attempt.peak
         if usage is not None:
@@ -147,25 +149,25 @@
                 run = attempt.elapsed(now) * shape.speed
                 self._estimates.observe_run(job.route, job.team, run)
 
-    def _note_health(self, attempt: Attempt, end: TaskEnd, now: float) -> bool:
-        """Counts the end for or against the upstream. Returns whether the job is at fault."""
+    def _update_health(self, attempt: Attempt, end: TaskEnd, now: float) -> bool:
+        """Updates the health of the upstream. Returns whether the job is at fault."""
         health, upstream_id, state = self._pool.health, attempt.upstream_id, attempt.state
         job_id = state.job.id
         changed = False
-        bad = end in (TaskEnd.FAILED, TaskEnd.LOST, TaskEnd.NOT_STARTED)
-        if bad:
+        is_failure = end in (TaskEnd.FAILED, TaskEnd.LOST, TaskEnd.NOT_STARTED)
+        if is_failure:
             if state.avoid is None:
                 state.avoid = set()
             state.avoid.add(upstream_id)
         if upstream_id in health.quarantined and not attempt.probe:
-            # Only the probe decides; but a job that fails here may be faulty.
+            # Only the end of a probe counts here, but a job that fails here may be faulty.
             if end is TaskEnd.FAILED:
                 health.note_failed_on(upstream_id, job_id)
         elif end is TaskEnd.SUCCEEDED:
             changed = health.succeeded(upstream_id, now)
-        elif bad:
-            blamed = job_id if end is TaskEnd.FAILED else None
-            changed = health.failed(upstream_id, blamed, now)
+        elif is_failure:
+            failed_job_id = job_id if end is TaskEnd.FAILED else None
+            changed = health.failed(upstream_id, failed_job_id, now)
             if changed:
                 self._dispatcher.give_up_holds(upstream_id, now)
         elif attempt.probe:
@@ -197,16 +199,20 @@
         budgeted = end in (TaskEnd.FAILED, TaskEnd.LOST) and not state.standing
         delay = 0.0
         attempts = self._tasks.attempts(state, attempt.task)
-        ordered = attempt.stopping and not budgeted
-        if attempts > IMMEDIATE_ATTEMPTS and not ordered and attempt.elapsed(now) < LONG_RUN:
-            doublings = min(attempts - IMMEDIATE_ATTEMPTS - 1, 10)
-            delay = min(FIRST_DELAY * 2**doublings, LONGEST_DELAY)
+        stop_ordered = attempt.stopping and not budgeted
+        if (
+            attempts > MAX_IMMEDIATE_ATTEMPTS
+            and not stop_ordered
+            and attempt.elapsed(now) < LONG_RUN_S
+        ):
+            doublings = min(attempts - MAX_IMMEDIATE_ATTEMPTS - 1, 10)
+            delay = min(INITIAL_RETRY_DELAY_S * 2**doublings, MAX_RETRY_DELAY_S)
         if delay or budgeted:
             self._dispatcher.retry(state, attempt.task, now + delay, budgeted, now)
         else:
             self._dispatcher.requeue(state, [attempt.task])
 
-    def _gang_may_start(self, state: JobState) -> None:
+    def _requeue_pending_gang(self, state: JobState) -> None:
         if isinstance(state.job, GangJob) and state.pending:
             self._dispatcher.requeue(state, [])
 
--- a/hornbeamramp/attempts.py
+++ b/hornbeamramp/attempts.py
@@ -1,4 +1,4 @@
-"""Runs one attempt at an upstream: start, resolve a lost reply, wait for the whole answer."""
+"""Runs one attempt at an upstream: start, resolution of a lost reply, wait for the answer."""
 
 from collections.abc import Awaitable, Callable
 from datetime import timedelta
@@ -19,30 +19,30 @@
 from hornbeamramp.upstream_link import UpstreamLink
 from hornbeamramp.upstreams import StartReply, StartRequest, TaskLabels
 
-__all__ = ["AttemptRunner", "EndReport"]
+__all__ = ["AttemptRunner", "EndCallback"]
 
-# Bounds how long a connection that went silent under a waiting call goes unnoticed.
+# Bounds how long a dead connection stays undetected during a waiting call.
 RESULT_WAIT = timedelta(seconds=4)
-# A service has no answer to wait for; that its upstream is gone shows in its renewals.
-STANDING_WAIT = timedelta(seconds=30)
-RETRY_PAUSE = timedelta(milliseconds=200)
+# A service has no answer to wait for; lease renewals detect the loss of its upstream.
+SERVICE_RESULT_WAIT = timedelta(seconds=30)
+RETRY_INTERVAL = timedelta(milliseconds=200)
 
 END_BY_STATE = {
     TaskState.FAILED: TaskEnd.FAILED,
     TaskState.STOPPED: TaskEnd.STOPPED,
     TaskState.CHECKPOINTED: TaskEnd.CHECKPOINTED,
-    # An ended task whose result is gone can't be told from one that was lost.
+    # A succeeded task whose result is no longer kept can't be distinguished from a lost one.
     TaskState.SUCCEEDED: TaskEnd.LOST,
 }
 
 _log = logbook.Logger("owner")
 _tracer = trace.get_tracer(__name__)
 
-EndReport = Callable[[AttemptId, TaskEnd, TaskResult | None], None]
+EndCallback = Callable[[AttemptId, TaskEnd, TaskResult | None], None]
 
 
 class AttemptRunner:
-    """Carries out starts and reports how each attempt ended, once.
+    """Carries out starts and reports the end of each attempt exactly once.
 
     `may_start`
         Whether this process still owns the shard; checked right before the start is written.
@@ -61,7 +61,7 @@
         may_start: Callable[[], bool],
         record_intent: Callable[[Start], Awaitable[bool]],
         started: Callable[[AttemptId], None],
-        ended: EndReport,
+        ended: EndCallback,
     ) -> None:
         self._shard = shard
         self._epoch = epoch
@@ -94,8 +94,8 @@
             await self.follow(start.attempt_id, start.job, link)
 
     async def follow(self, attempt_id: AttemptId, job: Job, link: UpstreamLink) -> None:
-        """Waits for the end of an attempt that was started, and reports it."""
-        wait = STANDING_WAIT if isinstance(job, ServiceJob) else RESULT_WAIT
+        """Waits for the end of a started attempt and reports it."""
+        wait = SERVICE_RESULT_WAIT if isinstance(job, ServiceJob) else RESULT_WAIT
         while True:
             try:
                 answer = await link.adapter.result(attempt_id, wait)
@@ -103,15 +103,15 @@
                 if link.has_lapsed(attempt_id):
                     self._end(link, attempt_id, TaskEnd.LOST)
                     return
-                await self._clock.sleep(RETRY_PAUSE)
+                await self._clock.sleep(RETRY_INTERVAL)
                 continue
             if answer is TaskState.RUNNING:
                 continue
             if isinstance(answer, TaskResult):
-                if self._is_own(answer, attempt_id):
+                if self._is_valid_answer(answer, attempt_id):
                     self._end(link, attempt_id, TaskEnd.SUCCEEDED, answer)
                     return
-                await self._clock.sleep(RETRY_PAUSE)
+                await self._clock.sleep(RETRY_INTERVAL)
                 continue
             end = TaskEnd.LOST if answer is None else END_BY_STATE[answer]
             self._end(link, attempt_id, end)
@@ -119,7 +119,7 @@
 
     async def _start(self, start: Start, link: UpstreamLink) -> TaskEnd | None:
         """Returns ``None`` if the task was started, otherwise how the attempt ended."""
-        request = self._request(start)
+        request = self._build_request(start)
         try:
             reply = await link.adapter.start(request, check=self._may_start)
         except UnreachableError as error:
@@ -129,7 +129,7 @@
             self._metrics.starts.add(1, {"reply": "lost"})
             return await self._resolve_start(start, link)
         except ProtocolError as error:
-            _log.warning("{}: malformed answer to a start: {}", link.id, error.message)
+            _log.warning("{}: malformed reply to a start request: {}", link.id, error.message)
             return await self._resolve_start(start, link)
         self._metrics.starts.add(1, {"reply": reply.value})
         return None if reply is StartReply.STARTED else TaskEnd.NOT_STARTED
@@ -149,11 +149,11 @@
                     return end
             if link.has_lapsed(attempt_id):
                 self._metrics.resolutions.add(1, {"result": "lost"})
-                return self._unseen_end(link) if absent else TaskEnd.LOST
-            await self._clock.sleep(RETRY_PAUSE)
+                return self._end_of_unseen_start(link) if absent else TaskEnd.LOST
+            await self._clock.sleep(RETRY_INTERVAL)
 
     async def _probe_start(self, attempt_id: AttemptId, link: UpstreamLink) -> TaskEnd | None:
-        """Returns ``None`` if it started, NOT_STARTED if it can't start, LOST if not seen."""
+        """Returns ``None`` if it started, NOT_STARTED if it can't start, LOST if it is unknown."""
         answer = await link.adapter.result(attempt_id, timedelta(0))
         if answer is not None:
             return None
@@ -165,13 +165,13 @@
         return TaskEnd.LOST
 
     @staticmethod
-    def _unseen_end(link: UpstreamLink) -> TaskEnd:
-        # With not-after the deadline has passed by now, so an unseen start can't happen any more.
-        # Without it a start delayed for longer than the lease can't be ruled out.
+    def _end_of_unseen_start(link: UpstreamLink) -> TaskEnd:
+        # With not-after the upstream refuses a start that arrives after its deadline, which has
+        # passed by now. Without it a start delayed for longer than the lease can't be ruled out.
         refuses_late = link.shape is not None and Capability.NOT_AFTER in link.shape.capabilities
         return TaskEnd.NOT_STARTED if refuses_late else TaskEnd.LOST
 
-    def _request(self, start: Start) -> StartRequest:
+    def _build_request(self, start: Start) -> StartRequest:
         return StartRequest(
             attempt_id=start.attempt_id,
             payload=start.job.payload,
@@ -189,11 +189,13 @@
             standing=isinstance(start.job, ServiceJob),
         )
 
-    def _is_own(self, result: TaskResult, attempt_id: AttemptId) -> bool:
+    def _is_valid_answer(self, result: TaskResult, attempt_id: AttemptId) -> bool:
         if result.attempt_id == attempt_id and result.is_whole():
             return True
         self._metrics.discarded_answers.add(1)
-        _log.warning("discarded an answer that is cut short or not for attempt {}", attempt_id)
+        _log.warning(
+            "discarded an answer for attempt {}: truncated or for another attempt", attempt_id
+        )
         return False
 
     def _end(
--- a/hornbeamramp/callbacks.py
+++ b/hornbeamramp/callbacks.py
@@ -1,4 +1,4 @@
-"""Calls of the owner's callbacks when a shard is gained or lost, one at a time for each shard."""
+"""Calls the owner's callbacks when a shard is gained or lost, one at a time per shard."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,7 +17,7 @@
 
 
 class Callbacks:
-    """Calls ``gained`` and ``lost`` in tasks. Their errors are logged and change nothing."""
+    """Calls ``gained`` and ``lost`` in tasks. Their errors are logged and have no other effect."""
 
     def __init__(self, gained: Gained, lost: Lost) -> None:
         self._gained = gained
@@ -41,10 +41,10 @@
         try:
             await self._gained(state.id, epoch)
         except Exception:
-            log.exception("the callback for the gain of {} failed", state.id)
+            log.exception("callback for the gained shard {} failed", state.id)
 
     async def _call_lost(self, shard: ShardId) -> None:
         try:
             await self._lost(shard)
         except Exception:
-            log.exception("the callback for the loss of {} failed", shard)
+            log.exception("callback for the lost shard {} failed", shard)
--- a/hornbeamramp/deadlines.py
+++ b/hornbeamramp/deadlines.py
@@ -1,4 +1,4 @@
-"""Deadlines of queued jobs, in order."""
+"""Deadlines of queued jobs, in a heap."""
 
 import heapq
 
@@ -6,8 +6,8 @@
 
 __all__ = ["Deadlines"]
 
-# Entries of jobs that have ended that are kept, beside as many as there are others.
-SLACK_ENTRIES = 64
+# Entries of ended jobs that the heap may hold in addition to one per live entry.
+MAX_EXTRA_STALE_ENTRIES = 64
 
 
 class Deadlines:
@@ -26,7 +26,7 @@
     def discard(self, state: JobState) -> None:
         """Removes a job in O(1), amortised; without effect if it is not there."""
         self._live.discard(state)
-        if len(self._heap) > 2 * len(self._live) + SLACK_ENTRIES:
+        if len(self._heap) > 2 * len(self._live) + MAX_EXTRA_STALE_ENTRIES:
             self._heap = [entry for entry in self._heap if entry[2] in self._live]
             heapq.heapify(self._heap)
 
--- a/hornbeamramp/durable_jobs.py
+++ b/hornbeamramp/durable_jobs.py
@@ -1,4 +1,4 @@
-"""What of a shard's jobs must outlive its owner: journal and idempotency keys together."""
+"""Job state that must survive a change of a shard's owner: journal and idempotency keys."""
 
 import asyncio
 from collections.abc import Container
@@ -30,16 +30,17 @@
 __all__ = ["DurableJobs"]
 
 PRUNE_INTERVAL = timedelta(seconds=10)
-OPEN_PAUSE = timedelta(seconds=1)
+STORE_RETRY_INTERVAL = timedelta(seconds=1)
 RETRY_AFTER = timedelta(seconds=5)
 
 _log = logbook.Logger("journal")
 
 
 class DurableJobs:
-    """Journal of one shard and the state it adds up to.
+    """Journal of one shard and the state replayed from it.
 
-    Waiting idempotent jobs without a key are not recorded: their acceptance is the answer itself.
+    An idempotent job without a key whose caller waits is not recorded: its caller gets no
+    acceptance, only the answer.
     """
 
     def __init__(self, platform: Platform, clock: Clock, shard: ShardId) -> None:
@@ -51,13 +52,13 @@
         self._pruned_at = clock.boot_time()
         self.is_open = False
         self._lock_by_key: dict[str, asyncio.Lock] = {}
-        # Jobs that were not accepted, but may be in the journal until it says otherwise.
+        # Jobs that were not accepted, but may be in the journal until a `JobForgotten` is in it.
         self._withdrawn: dict[JobId, None] = {}
-        self._withdrawing: asyncio.Task[None] | None = None
+        self._withdrawal_task: asyncio.Task[None] | None = None
 
     @staticmethod
-    def is_needed(job: Job) -> bool:
-        """Tells whether anything about the job has to be recorded."""
+    def needs_record(job: Job) -> bool:
+        """Returns whether anything about the job has to be recorded."""
         return (
             not job.idempotent
             or job.asynchronous
@@ -66,21 +67,21 @@
         )
 
     @staticmethod
-    def must_last(job: Job) -> bool:
-        """Tells whether the job may not be accepted without the store."""
+    def requires_store(job: Job) -> bool:
+        """Returns whether the job may not be accepted without the store."""
         return not job.idempotent or job.asynchronous or isinstance(job, ServiceJob)
 
     async def open(self, epoch: Epoch) -> None:
-        """Takes over the journal under ``epoch`` and loads it, retrying while the store is away.
+        """Claims the journal for ``epoch`` and loads it, retrying while the store is unavailable.
 
-        Returns without effect if a higher epoch has the journal.
+        Raises `ConflictError` if the journal has a higher epoch.
         """
         while True:
             try:
                 records = await self._journal.open(epoch)
             except StoreUnavailableError as error:
-                _log.warning("{}: can't open the journal: {}", self._shard, error.message)
-                await self._clock.sleep(OPEN_PAUSE)
+                _log.warning("{}: can't open the journal, retrying: {}", self._shard, error.message)
+                await self._clock.sleep(STORE_RETRY_INTERVAL)
             else:
                 self._state = JournalState.replay(records, self._clock.now())
                 self._keys = KeyTable(self._clock, self._state)
@@ -88,18 +89,18 @@
                 return
 
     def key_lock(self, job: Job) -> AbstractAsyncContextManager[object]:
-        """Returns the lock that lets requests with the same key be accepted one at a time."""
+        """Returns the lock that serialises the acceptance of requests with the same key."""
         if job.key is None:
             return nullcontext()
-        # Locks of the last keys are enough: they only bridge the acceptance itself.
+        # Only the latest locks are kept: a lock is needed only during the acceptance itself.
         while len(self._lock_by_key) > 10_000:
             del self._lock_by_key[next(iter(self._lock_by_key))]
         return self._lock_by_key.setdefault(job.key, asyncio.Lock())
 
     def find_key(self, job: Job) -> Result[JobId | None, NotRun]:
-        """Returns the id of the job that has taken the key, if any.
+        """Returns the id of the job that holds the key, if any.
 
-        The error says that the key stands for another request.
+        The error means that the key was used for another request.
         """
         if job.key is None:
             return Ok(None)
@@ -116,7 +117,7 @@
     def answer(self, job_id: JobId) -> Outcome | None:
         """Returns the recorded outcome of a job that ended, if it is still kept."""
         if job_id in self._withdrawn:
-            return _uncertain(job_id)
+            return _unknown_outcome(job_id)
         ended = self._state.answer_by_job_id.get(job_id)
         return None if ended is None else ended.outcome
 
@@ -125,15 +126,15 @@
         return [record.job for record in self._state.live_job_by_id.values()]
 
     def may_have_run(self, job_id: JobId) -> bool:
-        """Tells whether an earlier owner may have started the job, which must not run twice."""
+        """Returns whether an earlier owner may have started the job, which must not run twice."""
         return job_id in self._state.intents_by_job_id
 
     async def release_unstarted(self, known: Container[JobId]) -> None:
-        """Frees the keys of jobs that died in an earlier owner's queue.
+        """Releases the keys of jobs that were lost with an earlier owner's queue.
 
-        To be called after recovery; ``known`` are the jobs that upstreams or the journal brought.
-        A job with an intent keeps its key, as it may have run. An idempotent job that ran unseen
-        loses its key and may run again.
+        To be called after recovery; ``known`` are the jobs found at upstreams or in the journal.
+        A job with an intent keeps its key, as it may have run. An idempotent job that ran without
+        a trace in either loses its key and may run again.
         """
         state = self._state
         unstarted = [
@@ -152,20 +153,20 @@
         await asyncio.gather(*(self._append(JobForgotten(job_id)) for job_id in unstarted))
 
     async def check(self) -> None:
-        """Writes the journal back if the store has returned with an older one."""
+        """Writes the journal back if the store holds an older one after an outage."""
         if not self.is_open:
             return
         result = await self._journal.check()
         if isinstance(result, Err):
-            _log.warning("{}: journal not checked: {}", self._shard, result.err_value)
+            _log.warning("{}: journal check failed: {}", self._shard, result.err_value)
 
     async def record_accepted(self, job: Job) -> Result[None, NotRun | Unknown]:
         """Makes the acceptance durable before the job is queued.
 
         The error is `Unknown` if a later owner may find the job in the journal and run it.
 
-        Without the store an idempotent job whose caller waits is accepted all the same. Its key is
-        then kept in memory alone: after the owner's death a repeated request runs it again.
+        While the store is unavailable, an idempotent job whose caller waits is accepted anyway.
+        Its key is then kept only in memory: if the owner fails, a repeated request runs it again.
         """
         records: list[JournalRecord] = []
         if job.key is not None:
@@ -178,45 +179,45 @@
         runs_later = job.asynchronous or isinstance(job, ServiceJob)
         if runs_later:
             records.append(JobAccepted(job, self._clock.now()))
-        # In one write with the new records, so that no two jobs of one key are in the journal.
+        # Written together with the new records, so that no two jobs in the journal share a key.
         earlier = [JobForgotten(job_id) for job_id in self._withdrawn]
         results = await asyncio.gather(*(self._append(record) for record in (*earlier, *records)))
-        self._note_forgotten(earlier, results)
+        self._remove_forgotten(earlier, results)
         errors = [result.err_value for result in results[len(earlier) :] if result.is_err()]
-        if not errors or not self.must_last(job):
+        if not errors or not self.requires_store(job):
             return Ok(None)
         self._keys.release(job.id)
         if len(errors) == len(records) and not any(map(_may_be_written, errors)):
             return Err(_unavailable(job, errors[0]))
         self._withdraw(job.id)
-        # Only an accepted job is run by a later owner; a key alone is not.
-        return Err(_uncertain(job.id) if runs_later else _unavailable(job, errors[0]))
+        # A later owner runs only jobs recorded as accepted; a key record alone starts nothing.
+        return Err(_unknown_outcome(job.id) if runs_later else _unavailable(job, errors[0]))
 
     async def record_intent(self, start: Start) -> bool:
         """Makes the intent of a non-idempotent start durable; false if that failed."""
         intent = StartIntent(start.job.id, start.attempt_id, start.upstream_id)
         result = await self._append(intent)
         if isinstance(result, Err):
-            _log.warning("{}: intent not recorded: {}", start.attempt_id, result.err_value)
+            _log.warning("{}: start intent not recorded: {}", start.attempt_id, result.err_value)
             return False
-        self._keys.intend(intent)
+        self._keys.record_start_intent(intent)
         return True
 
     async def record_ended(self, job: Job, outcome: Outcome) -> bool:
         """Records the outcome and tells whether it may be reported.
 
-        Without the store only memory has it. A later owner would run an accepted job again, so
-        that one was not run is only reported once it is recorded.
+        While the store is unavailable, the outcome is kept only in memory. A later owner would run
+        an accepted job again, so its outcome "not run" is reported only once it is recorded.
         """
         ended = JobEnded(outcome, self._clock.now())
         while isinstance(result := await self._append(ended), Err):
-            _log.warning("{}: outcome not recorded: {}", job.id, result.err_value)
+            _log.warning("{}: job outcome not recorded: {}", job.id, result.err_value)
             if not isinstance(outcome, NotRun) or job.id not in self._state.live_job_by_id:
                 self._state.apply(ended)
                 break
             if isinstance(result.err_value, Fenced):
                 return False
-            await self._clock.sleep(OPEN_PAUSE)
+            await self._clock.sleep(STORE_RETRY_INTERVAL)
         self._keys.end(outcome)
         self._prune_if_due()
         return True
@@ -230,23 +231,23 @@
         if isinstance(await self._append(JobForgotten(job.id)), Ok):
             return None
         self._withdraw(job.id)
-        return _uncertain(job.id)
+        return _unknown_outcome(job.id)
 
     def _withdraw(self, job_id: JobId) -> None:
         self._withdrawn[job_id] = None
-        if self._withdrawing is None or self._withdrawing.done():
-            self._withdrawing = asyncio.get_running_loop().create_task(self._forget_withdrawn())
+        if self._withdrawal_task is None or self._withdrawal_task.done():
+            self._withdrawal_task = asyncio.get_running_loop().create_task(self._forget_withdrawn())
 
     async def _forget_withdrawn(self) -> None:
         while self._withdrawn:
-            await self._clock.sleep(OPEN_PAUSE)
+            await self._clock.sleep(STORE_RETRY_INTERVAL)
             records = [JobForgotten(job_id) for job_id in self._withdrawn]
             results = await asyncio.gather(*(self._append(record) for record in records))
-            self._note_forgotten(records, results)
+            self._remove_forgotten(records, results)
             if any(isinstance(r.err_value, Fenced) for r in results if r.is_err()):
                 return
 
-    def _note_forgotten(
+    def _remove_forgotten(
         self, records: list[JobForgotten], results: list[Result[None, JournalError | str]]
     ) -> None:
         for record, result in zip(records, results, strict=False):
@@ -254,13 +255,13 @@
                 self._withdrawn.pop(record.job_id, None)
 
     async def close(self) -> None:
-        """Ends the journal's background work."""
-        if self._withdrawing is not None:
-            self._withdrawing.cancel()
+        """Stops the background tasks and closes the journal."""
+        if self._withdrawal_task is not None:
+            self._withdrawal_task.cancel()
         await self._journal.close()
 
     def _prune_if_due(self) -> None:
-        # Pruning looks at every record, so jobs that end share one pass.
+        # Pruning scans every record, so it runs at most once per interval.
         now = self._clock.boot_time()
         if now - self._pruned_at >= PRUNE_INTERVAL:
             self._pruned_at = now
@@ -273,7 +274,7 @@
         if isinstance(result, Ok):
             self._state.apply(record)
         elif isinstance(result.err_value, Fenced):
-            _log.warning("{}: a later owner has the journal", self._shard)
+            _log.warning("{}: journal is fenced by a later owner", self._shard)
         return result
 
 
@@ -286,5 +287,5 @@
     return isinstance(error, JournalUnavailable | Fenced) and error.outcome == "unknown"
 
 
-def _uncertain(job_id: JobId) -> Unknown:
+def _unknown_outcome(job_id: JobId) -> Unknown:
     return Unknown(job_id, "the store did not tell whether the job is recorded")
--- a/hornbeamramp/idempotency.py
+++ b/hornbeamramp/idempotency.py
@@ -84,7 +84,7 @@
 
 
 class KeyTable:
-    """Idempotency keys whose home is a shard, in the memory of the shard's owner.
+    """Idempotency keys whose home is a shard, kept in the memory of the shard's owner.
 
     A key is taken here before its `KeyRecorded` is durable, so that a concurrent request with
     the same key joins the first one. If the record can't be written, `release` undoes that.
@@ -94,7 +94,7 @@
     `state`
         State of the shard's journal to start from (default: empty).
     `limit`
-        Most keys kept (default: 100,000).
+        Maximum number of keys (default: 100,000).
     """
 
     def __init__(
@@ -110,7 +110,7 @@
         return len(self._state.key_record_by_key)
 
     def lookup(self, key: str, digest: str) -> KeyMatch:
-        """Returns what a request with this key and `Job.digest` meets."""
+        """Returns how a request with this key and `Job.digest` matches the known keys."""
         self._prune_if_due()
         record = self._state.key_record_by_key.get(key)
         if record is None:
@@ -136,21 +136,21 @@
         self._state.apply(KeyRecorded(key, job_id, digest, sent_to, self._clock.now()))
         return match
 
-    def intend(self, intent: StartIntent) -> None:
-        """Notes that the job may run from now on."""
+    def record_start_intent(self, intent: StartIntent) -> None:
+        """Records that the job may run from now on."""
         self._state.apply(intent)
 
     def end(self, outcome: Outcome) -> None:
-        """Stores the outcome of a job; one that was not run frees its key."""
+        """Stores the outcome of a job and releases its key if the job was not run."""
         if outcome.job_id in self._state.key_by_job_id:
             self._state.apply(JobEnded(outcome, self._clock.now()))
 
     def release(self, job_id: JobId) -> None:
-        """Frees the key of a job that was not recorded or will not run."""
+        """Releases the key of a job that was not recorded or will not run."""
         self._state.apply(JobForgotten(job_id))
 
     def _prune_if_due(self) -> None:
-        # Pruning looks at every key, so lookups share one pass.
+        # Pruning scans every key, so it runs at most once per interval.
         now = self._clock.boot_time()
         if now - self._pruned_at >= PRUNE_INTERVAL:
             self._pruned_at = now
--- a/hornbeamramp/job_ids.py
+++ b/hornbeamramp/job_ids.py
@@ -1,4 +1,4 @@
-"""Job ids name the shard that holds the job, so that any entry VM can find it again."""
+"""Job ids, which contain the id of the job's shard so that any entry VM can find the job."""
 
 import uuid
 
--- a/hornbeamramp/job_lifecycle.py
+++ b/hornbeamramp/job_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a shard's jobs: acceptance, starts and ends of attempts, outcome, deadline."""
+"""Lifecycle of a shard's jobs: acceptance, starts and ends of attempts, outcome, deadline."""
 
 import asyncio
 from collections.abc import Callable
@@ -28,15 +28,17 @@
 __all__ = ["JobLifecycle"]
 
 # Recovery lasts up to the lease of a task if an upstream can't be listed.
-SETTLE_PATIENCE = timedelta(seconds=20)
-SETTLE_POLL = timedelta(milliseconds=50)
-RETRY_AFTER_STORE = timedelta(seconds=5)
+MERGE_TIMEOUT = timedelta(seconds=20)
+MERGE_POLL_INTERVAL = timedelta(milliseconds=50)
+STORE_RETRY_AFTER = timedelta(seconds=5)
 
 _log = logbook.Logger("owner")
 
 
 class JobLifecycle:
-    """Decides the fate of each job of a shard from what scheduler, journal and upstreams tell.
+    """Carries each job of a shard from acceptance to its outcome.
+
+    Acts on what the scheduler decides, the journal holds and the upstreams report.
 
     `durable`
         The shard's journal and key records.
@@ -65,23 +67,23 @@
         self._stop = stop
         self._wake = wake
         # Set once the journal has been merged with what the upstreams run.
-        self._settled = asyncio.Event()
+        self._journal_merged = asyncio.Event()
         # Jobs with a lost attempt, which end as unknown if their deadline passes in the queue.
         self._lost_jobs: set[JobId] = set()
         # Jobs whose acceptance is being recorded: they have no record yet, but may run.
         self._in_acceptance: set[JobId] = set()
 
     def is_settled(self) -> bool:
-        """Tells whether journal and upstreams have been merged after the claim."""
-        return self._settled.is_set()
+        """Returns whether journal and upstreams have been merged after the claim."""
+        return self._journal_merged.is_set()
 
     def is_in_acceptance(self, job_id: JobId) -> bool:
-        """Tells whether the acceptance of a job is being recorded."""
+        """Returns whether the acceptance of a job is being recorded."""
         return job_id in self._in_acceptance
 
     async def accept(self, job: Job) -> Result[JobRecord, NotRun | Unknown]:
-        """Queues a job, after making durable what must outlive this owner."""
-        if self._durable.is_needed(job):
+        """Queues a job, after recording what must survive a change of owner."""
+        if self._durable.needs_record(job):
             self._in_acceptance.add(job.id)
             try:
                 return await self._accept_durable(job)
@@ -95,17 +97,17 @@
             return
         cancellation = self._cancel(record)
         if cancellation.kind is CancellationKind.QUEUED:
-            self._finish(record, self._cancelled(record, cancellation.ran))
+            self._finish(record, self._cancelled_outcome(record, cancellation.ran))
 
     async def merge_journal(self) -> None:
         """Merges the journal with what the upstreams run, once both are known."""
         for record in self.records.live():
-            self._settle(record)
+            self._reconcile_adopted(record)
         await self._durable.release_unstarted(self.records)
         for job in self._durable.unfinished_jobs():
             if self.records.get(job.id) is None:
                 self._requeue(job)
-        self._settled.set()
+        self._journal_merged.set()
         self._wake()
 
     def expire(self) -> None:
@@ -119,11 +121,11 @@
         self._wake()
 
     async def _accept_durable(self, job: Job) -> Result[JobRecord, NotRun | Unknown]:
-        # Until then a running attempt of the same job, or its key, may not be known yet.
-        if not await self._is_settled_within(SETTLE_PATIENCE):
+        # Before the merge, a running attempt of the same job, or its key, may be unknown.
+        if not await self._wait_for_merge(MERGE_TIMEOUT):
             detail = "the shard's journal is not loaded"
             reason = RefusalReason.STORE_UNAVAILABLE
-            return Err(NotRun(job.id, reason, detail, RETRY_AFTER_STORE))
+            return Err(NotRun(job.id, reason, detail, STORE_RETRY_AFTER))
         async with self._durable.key_lock(job):
             known = self._durable.find_key(job)
             if isinstance(known, Err):
@@ -133,7 +135,7 @@
             if record is not None:
                 return Ok(record)
             if known_id != job.id:
-                return Ok(self._answered(job, known_id))
+                return Ok(self._answered_record(job, known_id))
             refusal = self._scheduler.check(job)
             if refusal is not None:
                 return Err(_refused(job, refusal))
@@ -146,19 +148,19 @@
                 return accepted if uncertain is None else Err(uncertain)
             return accepted
 
-    async def _is_settled_within(self, patience: timedelta) -> bool:
-        if self._settled.is_set():
+    async def _wait_for_merge(self, timeout: timedelta) -> bool:
+        if self._journal_merged.is_set():
             return True
-        give_up_at = self._clock.boot_time() + patience
-        while not self._settled.is_set() and self._clock.boot_time() < give_up_at:
-            await self._clock.sleep(SETTLE_POLL)
-        return self._settled.is_set()
+        deadline = self._clock.boot_time() + timeout
+        while not self._journal_merged.is_set() and self._clock.boot_time() < deadline:
+            await self._clock.sleep(MERGE_POLL_INTERVAL)
+        return self._journal_merged.is_set()
 
-    def _answered(self, job: Job, known_id: JobId) -> JobRecord:
-        """Returns a record with the answer that an idempotency key already has."""
+    def _answered_record(self, job: Job, known_id: JobId) -> JobRecord:
+        """Returns a record that holds the answer already given for the job's idempotency key."""
         record = JobRecord(job)
-        lost = Unknown(known_id, "the answer to the first request with this key is gone")
-        record.answer(self._durable.answer(known_id) or lost)
+        missing = Unknown(known_id, "the answer to the first request with this key is gone")
+        record.answer(self._durable.answer(known_id) or missing)
         return record
 
     def _enqueue(self, job: Job) -> Result[JobRecord, NotRun]:
@@ -171,7 +173,7 @@
         return Ok(record)
 
     def recorded_outcome(self, job_id: JobId) -> Outcome | None:
-        """Returns what the journal tells about a job that no upstream and no record knows."""
+        """Returns the outcome that the journal gives for a job without a record or an attempt."""
         if self._durable.may_have_run(job_id):
             detail = "its start was on record, but no upstream knows the attempt"
             return Unknown(job_id, detail)
@@ -184,13 +186,13 @@
         self._wake()
         return cancellation
 
-    def _cancelled(self, record: JobRecord, ran: bool) -> Outcome:
+    def _cancelled_outcome(self, record: JobRecord, ran: bool) -> Outcome:
         if ran:
             return Completed(record.job.id, [], self._data_centre, failed=True)
         return NotRun(record.job.id, RefusalReason.CANCELLED, "cancelled")
 
     def started(self, attempt_id: AttemptId) -> None:
-        """Takes note that an upstream started an attempt. A service is answered by that."""
+        """Handles the start of an attempt. A service is answered once all its tasks started."""
         self._scheduler.started(attempt_id)
         record = self._record_of(attempt_id)
         if record is None:
@@ -200,7 +202,7 @@
             record.answer(Completed(record.job.id, [], self._data_centre))
 
     def ended(self, attempt_id: AttemptId, end: TaskEnd, result: TaskResult | None) -> None:
-        """Takes note of the end of an attempt and of what follows for its job."""
+        """Handles the end of an attempt and what follows from it for the job."""
         ended = self._scheduler.ended(attempt_id, end, None)
         self._wake()
         record = self._record_of(attempt_id)
@@ -216,9 +218,9 @@
             record.uncertain = not record.job.idempotent
             self._lost_jobs.add(record.job.id)
         if record.intent_failed and ended is Ended.RETRY:
-            self._refuse_without_store(record)
+            self._end_unrecorded_start(record)
         else:
-            self._conclude(record, ended)
+            self._finish_if_ended(record, ended)
 
     async def record_intent(self, start: Start) -> bool:
         """Makes the intent of a non-idempotent start durable; false if that failed."""
@@ -228,17 +230,17 @@
             record.intent_failed = not recorded
         return recorded
 
-    def _refuse_without_store(self, record: JobRecord) -> None:
+    def _end_unrecorded_start(self, record: JobRecord) -> None:
         """Ends a non-idempotent job at once, as its start can't be recorded."""
         cancellation = self._cancel(record)
         if cancellation.kind is CancellationKind.QUEUED and not cancellation.ran:
             detail = "the store can't record the start of a non-idempotent job"
             outcome = NotRun(
-                record.job.id, RefusalReason.STORE_UNAVAILABLE, detail, RETRY_AFTER_STORE
+                record.job.id, RefusalReason.STORE_UNAVAILABLE, detail, STORE_RETRY_AFTER
             )
             self._finish(record, outcome)
 
-    def _conclude(self, record: JobRecord, ended: Ended) -> None:
+    def _finish_if_ended(self, record: JobRecord, ended: Ended) -> None:
         job = record.job
         if ended is Ended.JOB_DONE:
             results = [record.result_by_task[task] for task in sorted(record.result_by_task)]
@@ -257,10 +259,10 @@
         self._tasks.spawn(self._durable_finish(record, outcome))
 
     async def _durable_finish(self, record: JobRecord, outcome: Outcome) -> None:
-        # An answer that must be repeatable is in the journal before the caller sees it. With the
-        # store away the caller still gets it; the journal then holds the intent alone. That an
-        # accepted job was not run is not reported before it is recorded.
-        if self._durable.is_needed(record.job):
+        # An answer that must be repeatable is recorded before the caller gets it. While the store
+        # is unavailable the caller still gets it, and the journal holds only the intent. But the
+        # outcome "not run" of an accepted job is reported only after it is recorded.
+        if self._durable.needs_record(record.job):
             reportable = await self._durable.record_ended(record.job, outcome)
             if not reportable:
                 return
@@ -269,12 +271,12 @@
     def _record_of(self, attempt_id: AttemptId) -> JobRecord | None:
         return self.records.get(attempt_id.rsplit(".", 3)[0])
 
-    def _settle(self, record: JobRecord) -> None:
-        """Queues or ends an adopted job whose other tasks no upstream runs."""
+    def _reconcile_adopted(self, record: JobRecord) -> None:
+        """Queues the tasks of an adopted job that no upstream runs, or ends the job."""
         ended = self._scheduler.settle(record.job.id, record.result_by_task.keys())
         if ended is Ended.JOB_FAILED:
             record.uncertain = True
-        self._conclude(record, ended)
+        self._finish_if_ended(record, ended)
 
     def _requeue(self, job: Job) -> None:
         if self._durable.may_have_run(job.id):
@@ -283,11 +285,13 @@
             return
         accepted = self._enqueue(job)
         if isinstance(accepted, Err):
-            _log.warning("{}: an accepted job was refused: {}", job.id, accepted.err_value.detail)
+            _log.warning(
+                "{}: accepted job was refused on requeue: {}", job.id, accepted.err_value.detail
+            )
             self._finish(self.records.create(job), accepted.err_value)
 
     def _expire_lost(self) -> None:
-        """Ends jobs past their deadline whose last attempt was lost and that wait for another."""
+        """Ends jobs past their deadline whose last attempt was lost and that wait for a retry."""
         for job_id in list(self._lost_jobs):
             record = self.records.get(job_id)
             if record is None or record.ended_at is not None:
--- a/hornbeamramp/job_records.py
+++ b/hornbeamramp/job_records.py
@@ -1,4 +1,4 @@
-"""What a shard owner remembers about jobs, live and ended, with bounded retention."""
+"""Records of a shard's live and ended jobs, kept by its owner with bounded retention."""
 
 import asyncio
 from collections import OrderedDict
@@ -14,7 +14,7 @@
 __all__ = ["JobRecord", "JobRecords", "state_of", "task_of"]
 
 _tracer = trace.get_tracer(__name__)
-# Ended jobs and refused ids stay known this long: longer than any lost reply is resolved.
+# Ended jobs and refused ids are kept for longer than a lost reply takes to be resolved.
 RETENTION = timedelta(minutes=10)
 RETAINED_JOBS = 50_000
 
@@ -32,10 +32,10 @@
 
 
 class JobRecord:
-    """One job as its shard owner knows it.
+    """State of one job at its shard's owner.
 
     `outcome`
-        Future that every waiting submit and resolve shares.
+        Future that all waiting submits and resolves share.
     `upstream_by_attempt`
         Attempts that may be running.
     `intent_failed`
@@ -47,7 +47,7 @@
     `lost`
         Whether an attempt was lost with its upstream.
     `uncertain`
-        Whether a failure can't be told from a success.
+        Whether a failure can't be distinguished from a success.
     """
 
     __slots__ = (
@@ -88,7 +88,7 @@
         return state_of(self.outcome.result())
 
     def is_expired(self, now: timedelta) -> bool:
-        """Tells whether the deadline has passed."""
+        """Returns whether the deadline has passed."""
         return self.expires_at is not None and now > self.expires_at
 
     def enter_queue(self, now: timedelta) -> None:
@@ -106,7 +106,7 @@
         return waited
 
     def answer(self, outcome: Outcome) -> None:
-        """Gives the outcome to all that wait for it. Later calls have no effect."""
+        """Sets the outcome for all waiters. Later calls have no effect."""
         if not self.outcome.done():
             self.outcome.set_result(outcome)
 
@@ -141,7 +141,7 @@
         return record
 
     def discard(self, job_id: JobId) -> None:
-        """Forgets a job that was refused before it was queued."""
+        """Removes a job that was refused before it was queued."""
         self._by_id.pop(job_id, None)
 
     def end(self, record: JobRecord, outcome: Outcome) -> None:
@@ -155,7 +155,7 @@
         self._trim()
 
     def refuse(self, job_id: JobId) -> None:
-        """Records that a submit with this id must be turned down."""
+        """Records that a submit with this id must be refused."""
         self._refused[job_id] = self._clock.boot_time()
         self._trim()
 
--- a/hornbeamramp/journal.py
+++ b/hornbeamramp/journal.py
@@ -27,14 +27,14 @@
 
 log = logbook.Logger("journal")
 
-INLINE_BYTES = 16 * 1024
-BATCH_BYTES = 256 * 1024
-PENDING_BYTES = 4 * 1024 * 1024
-CHECKPOINT_BYTES = 8 * 1024 * 1024
+MAX_INLINE_BYTES = 16 * 1024
+MAX_BATCH_BYTES = 256 * 1024
+MAX_PENDING_BYTES = 4 * 1024 * 1024
+MAX_CHECKPOINT_BYTES = 8 * 1024 * 1024
 # Compaction rewrites the checkpoint, so it waits until the segments are at least as large.
-COMPACT_BYTES = 8 * INLINE_BYTES
-ATTEMPTS = 4
-CLAIM_ATTEMPTS = 20
+MIN_COMPACTION_BYTES = 8 * MAX_INLINE_BYTES
+MAX_PUT_ATTEMPTS = 4
+MAX_CLAIM_ATTEMPTS = 20
 FULL_COMPACT_INTERVAL = timedelta(minutes=1)
 RETRY_DELAY = timedelta(milliseconds=50)
 
@@ -82,7 +82,7 @@
 
 
 class _FencedError(Exception):
-    """Another owner's head was found."""
+    """The head in the store was written by another owner."""
 
 
 class Journal:
@@ -95,7 +95,7 @@
     `shard`
         Shard whose journal this is.
 
-    `state` is what the durable records add up to.
+    `state` is the state replayed from the durable records.
     """
 
     def __init__(self, platform: Platform, clock: Clock, shard: ShardId) -> None:
@@ -113,14 +113,14 @@
         self._writer: asyncio.Task[None] | None = None
         self._head_lock = asyncio.Lock()
         self._fenced: Fenced | None = Fenced(Epoch(0), "the journal is not open")
-        # Heads sent without an answer: each may still take effect while the version stands.
+        # Heads whose put was not answered: each may still take effect until the version changes.
         self._unresolved_by_write_id: dict[str, list[JournalRecord]] = {}
         self._must_read = False
         self._compacted_at: timedelta | None = None
         self.state = JournalState()
 
     async def open(self, epoch: Epoch) -> list[JournalRecord]:
-        """Takes the journal over for ``epoch`` and returns its records in order.
+        """Claims the journal for ``epoch`` and returns its records in order.
 
         After this, appends by an owner with a lower epoch fail. Raises `ConflictError` if the
         journal has a higher epoch, `StoreUnavailableError` if the store does not answer and
@@ -136,14 +136,16 @@
             self._must_read = False
             self.state = JournalState.replay(records, self._clock.now())
             self._fenced = None
-        log.info("opened {} with epoch {}, {} records", self._shard, epoch, len(records))
+        log.info(
+            "opened the journal of {} with epoch {}, {} records", self._shard, epoch, len(records)
+        )
         return records
 
     async def append(self, record: JournalRecord) -> Result[None, JournalError]:
         """Writes the record and returns when it is durable.
 
-        Records that arrive during a write share the next one. The record of a cancelled call
-        may still be written.
+        Records that arrive during a write are written together in the next one. The record of a
+        cancelled call may still be written.
         """
         if self._fenced is not None:
             return Err(self._fenced)
@@ -152,7 +154,7 @@
         raw = msgspec.Raw(_encode(record))
         if len(raw) > SEGMENT_BYTES:
             return Err(RecordTooLarge(len(raw)))
-        if self._pending_bytes + len(raw) > PENDING_BYTES:
+        if self._pending_bytes + len(raw) > MAX_PENDING_BYTES:
             return Err(JournalUnavailable("not_run", "too many records wait to be written"))
         if self._is_full():
             await self._compact_full()
@@ -166,7 +168,7 @@
         return await pending.done
 
     async def check(self) -> Result[None, JournalError]:
-        """Reads the head and writes the journal back if the store returned with an older one.
+        """Reads the head and writes the journal back if the store holds an older one.
 
         To be called when the store is available again after an outage.
         """
@@ -188,7 +190,7 @@
         self._fenced = self._fenced or Fenced(self._head.epoch, "the journal is closed")
 
     async def _claim(self, epoch: Epoch) -> tuple[JournalHead, int]:
-        for attempt in range(CLAIM_ATTEMPTS):
+        for attempt in range(MAX_CLAIM_ATTEMPTS):
             entry = await self._platform.get(self._key)
             head = JournalHead(Epoch(0), "") if entry is None else decode_head(entry)
             if head.epoch > epoch:
@@ -204,9 +206,9 @@
                 # The old owner appended in between; its records are part of the journal.
                 continue
             except StoreUnavailableError as error:
-                if not error.sent or attempt + 1 == CLAIM_ATTEMPTS:
+                if not error.sent or attempt + 1 == MAX_CLAIM_ATTEMPTS:
                     raise
-        message = f"{self._key}: changed at each of {CLAIM_ATTEMPTS} attempts"
+        message = f"{self._key}: changed at each of {MAX_CLAIM_ATTEMPTS} attempts"
         raise ConflictError(Step.JOURNAL, "store", message, None)
 
     async def _write_pending(self) -> None:
@@ -216,7 +218,7 @@
                 async with self._head_lock:
                     result = await self._commit(batch)
             except Exception as error:
-                log.exception("write to {} failed", self._shard)
+                log.exception("write to the journal of {} failed", self._shard)
                 result = Err(JournalUnavailable("unknown", repr(error)))
             for pending in batch:
                 if not pending.done.done():
@@ -228,7 +230,7 @@
     def _take_batch(self) -> list[_Pending]:
         count, size = 0, 0
         for pending in self._pending:
-            if count and size + len(pending.raw) > BATCH_BYTES:
+            if count and size + len(pending.raw) > MAX_BATCH_BYTES:
                 break
             count, size = count + 1, size + len(pending.raw)
         batch, self._pending = self._pending[:count], self._pending[count:]
@@ -240,7 +242,7 @@
 
         async def build() -> JournalHead:
             records, segments = [*self._head.records, *raws], self._head.segments
-            if sum(len(raw) for raw in records) > INLINE_BYTES:
+            if sum(len(raw) for raw in records) > MAX_INLINE_BYTES:
                 segments = [*segments, *await self._segments.write(records)]
                 records = []
             return msgspec.structs.replace(
@@ -252,7 +254,7 @@
     async def _replace_head(
         self, build: Callable[[], Awaitable[JournalHead]], records: list[JournalRecord]
     ) -> Result[None, JournalError]:
-        """Replaces the head by the one that ``build`` makes from it; ``records`` are new in it.
+        """Replaces the head by the one that ``build`` derives from it, which adds ``records``.
 
         After a put without an answer the head is read back. The same head is put again only at
         the same version, so that at most one of the puts takes effect.
@@ -262,7 +264,7 @@
         head: JournalHead | None = None
         base: int | None = None
         message = ""
-        for attempt in range(ATTEMPTS):
+        for attempt in range(MAX_PUT_ATTEMPTS):
             if attempt:
                 await self._clock.sleep(RETRY_DELAY * 2 ** (attempt - 1))
             try:
@@ -318,13 +320,17 @@
             records = self._unresolved_by_write_id[head.write_id]
             self._adopt(head, entry.version, records)
             return
-        own = head.write_id.startswith(self._writer_id)
-        if head.epoch > self._head.epoch or (head.epoch == self._head.epoch and not own):
+        is_own_head = head.write_id.startswith(self._writer_id)
+        if head.epoch > self._head.epoch or (head.epoch == self._head.epoch and not is_own_head):
             self._fenced = Fenced(head.epoch, f"{self._key} has another owner")
-            log.warning("{} was opened by another owner with epoch {}", self._shard, head.epoch)
+            log.warning(
+                "the journal of {} was opened by another owner with epoch {}",
+                self._shard,
+                head.epoch,
+            )
             raise _FencedError
-        log.warning("store returned with an older journal of {}; writing it back", self._shard)
-        # Heads sent before expected a version that is gone, so none of them can take effect.
+        log.warning("the store holds an older journal of {}; writing it back", self._shard)
+        # Earlier puts expect a version that no longer exists, so none of them can take effect.
         self._unresolved_by_write_id.clear()
         await self._write_back(entry.version if entry else None)
 
@@ -349,13 +355,13 @@
 
     def _is_compaction_due(self) -> bool:
         size = sum(ref.size for ref in self._head.segments)
-        return size >= max(COMPACT_BYTES, sum(ref.size for ref in self._head.checkpoint))
+        return size >= max(MIN_COMPACTION_BYTES, sum(ref.size for ref in self._head.checkpoint))
 
     def _is_full(self) -> bool:
-        return sum(ref.size for ref in self._head.checkpoint) > CHECKPOINT_BYTES
+        return sum(ref.size for ref in self._head.checkpoint) > MAX_CHECKPOINT_BYTES
 
     async def _compact_full(self) -> None:
-        """Drops what is past retention. At most once a minute, as it rewrites the journal."""
+        """Drops records past retention. At most once a minute, as it rewrites the journal."""
         async with self._head_lock:
             now = self._clock.boot_time()
             if self._compacted_at is None or now - self._compacted_at >= FULL_COMPACT_INTERVAL:
--- a/hornbeamramp/journal_records.py
+++ b/hornbeamramp/journal_records.py
@@ -1,4 +1,4 @@
-"""Records of a shard's journal, the state they add up to, and their form in the store."""
+"""Records of a shard's journal, the state replayed from them, and their form in the store."""
 
 from collections.abc import Iterable
 from datetime import datetime, timedelta
@@ -85,7 +85,7 @@
 
 
 class JournalState(msgspec.Struct):
-    """What a journal adds up to.
+    """State replayed from the records of a journal.
 
     `live_job_by_id`
         Accepted jobs without an outcome.
@@ -138,13 +138,13 @@
             if now - answer.ended_at >= ANSWER_RETENTION:
                 del self.answer_by_job_id[job_id]
         for record in list(self.key_record_by_key.values()):
-            busy = (
+            in_use = (
                 record.job_id in self.live_job_by_id
                 or record.job_id in self.intents_by_job_id
                 or record.job_id in self.answer_by_job_id
             )
             expired = record.recorded_at is None or now - record.recorded_at >= KEY_RETENTION
-            if expired and not busy:
+            if expired and not in_use:
                 self._release_key(record.job_id)
 
     def to_records(self) -> list[JournalRecord]:
@@ -162,7 +162,7 @@
         self.intents_by_job_id.pop(job_id, None)
         self.answer_by_job_id[job_id] = record
         if isinstance(record.outcome, NotRun):
-            # The caller was told that nothing ran, so the key is free for another try.
+            # The caller was told that nothing ran, so the key is released for a retry.
             self._release_key(job_id)
         else:
             self._mark_key_ended(job_id)
@@ -207,7 +207,7 @@
     """Head record of a shard's journal, replaced only by compare-and-swap.
 
     The journal is the checkpoint, then the segments, then the inline records. ``write_id`` is
-    unique to each write, so that a writer whose answer was lost recognises its own head.
+    unique to each write, so that a writer that got no answer recognises its own head.
     """
 
     epoch: Epoch
--- a/hornbeamramp/journal_segments.py
+++ b/hornbeamramp/journal_segments.py
@@ -16,7 +16,7 @@
 
 log = logbook.Logger("journal")
 
-# Values in the store are at most 1 MB; the rest is room for the frame around the records.
+# Values in the store are at most 1 MB; the rest is reserved for the encoding of the segment.
 SEGMENT_BYTES = 950_000
 
 T = TypeVar("T")
@@ -56,23 +56,23 @@
     async def write(self, records: list[msgspec.Raw]) -> list[SegmentRef]:
         """Stores the records in as few segments as their sizes allow.
 
-        Raises `StoreUnavailableError`; then no segment counts as written.
+        Raises `StoreUnavailableError`; the segments written until then are marked for deletion.
         """
         refs: list[SegmentRef] = []
-        part: list[msgspec.Raw] = []
+        segment_records: list[msgspec.Raw] = []
         size = 0
         for index, raw in enumerate(records):
-            part.append(raw)
+            segment_records.append(raw)
             size += len(raw)
             if index + 1 == len(records) or size + len(records[index + 1]) > SEGMENT_BYTES:
                 key = f"{self._key}/segment/{uuid.uuid4().hex}"
                 try:
-                    await self._put(key, _encode(Segment(part)))
+                    await self._put(key, _encode(Segment(segment_records)))
                 except StoreUnavailableError:
                     self._unused_keys.update([key, *(ref.key for ref in refs)])
                     raise
                 refs.append(SegmentRef(key, size))
-                part, size = [], 0
+                segment_records, size = [], 0
         return refs
 
     async def load(self, head: JournalHead) -> list[JournalRecord]:
@@ -94,7 +94,7 @@
         self._unused_keys.update(ref.key for ref in [*head.checkpoint, *head.segments])
 
     async def delete_unused(self, head: JournalHead) -> None:
-        """Deletes the marked segments that ``head`` does not refer to; keeps them on errors."""
+        """Deletes marked segments that ``head`` does not refer to; they stay marked on errors."""
         self._unused_keys -= {ref.key for ref in [*head.checkpoint, *head.segments]}
         try:
             for key in list(self._unused_keys):
@@ -103,7 +103,7 @@
                     await self._platform.delete(key, entry.version)
                 self._unused_keys.discard(key)
         except (ConflictError, StoreUnavailableError) as error:
-            log.debug("old segments of {} were not deleted: {}", self._key, error)
+            log.debug("unused segments of {} were not deleted: {}", self._key, error)
 
     async def _put(self, key: str, value: bytes) -> None:
         try:
--- a/hornbeamramp/retries.py
+++ b/hornbeamramp/retries.py
@@ -1,4 +1,4 @@
-"""Retries: tasks that wait for their time and for the retry budget of the pool."""
+"""Delayed retries of tasks and the retry budget of a pool."""
 
 import heapq
 from collections.abc import Iterator
@@ -7,35 +7,39 @@
 
 __all__ = ["DelayedRetries", "RetryBudget"]
 
-# Retries that are due but for which there is no budget are tried again after this many seconds.
-BUDGET_WAIT = 0.5
+# Retries that are due while the budget is exhausted are checked again after this many seconds.
+BUDGET_RETRY_DELAY_S = 0.5
 
 
 class RetryBudget:
-    """Token bucket that bounds retries to a share of starts.
+    """Token bucket that bounds retries in proportion to starts.
 
-    `share`
-        Tokens earned with each first attempt.
-    `floor`
-        Tokens earned per second, so that retries go on when nothing new is submitted.
+    `tokens_per_start`
+        Tokens added with each first attempt.
+    `tokens_per_second`
+        Tokens added per second, so that retries continue when nothing new is submitted.
     `burst`
-        Most tokens kept. A rack of upstreams that fails at once stays below it.
+        Maximum number of tokens. The retries after the failure of a whole rack stay below it.
     """
 
-    def __init__(self, share: float = 0.2, floor: float = 1.0, burst: float = 100.0) -> None:
-        self._share = share
-        self._floor = floor
+    def __init__(
+        self, tokens_per_start: float = 0.2, tokens_per_second: float = 1.0, burst: float = 100.0
+    ) -> None:
+        self._tokens_per_start = tokens_per_start
+        self._tokens_per_second = tokens_per_second
         self._burst = burst
         self._tokens = burst
         self._updated = 0.0
 
     def earn(self) -> None:
-        """Notes a first attempt."""
-        self._tokens = min(self._tokens + self._share, self._burst)
+        """Adds the tokens of a first attempt."""
+        self._tokens = min(self._tokens + self._tokens_per_start, self._burst)
 
     def take(self, now: float) -> bool:
         """Takes a token for one retry; false if there is none. ``now`` is in seconds."""
-        self._tokens = min(self._tokens + (now - self._updated) * self._floor, self._burst)
+        self._tokens = min(
+            self._tokens + (now - self._updated) * self._tokens_per_second, self._burst
+        )
         self._updated = now
         if self._tokens < 1.0 - 1e-9:
             return False
@@ -52,7 +56,7 @@
         self._sequence = 0
 
     def add(self, state: JobState, task: int, due: float, budgeted: bool, now: float) -> bool:
-        """Adds a retry. Returns true if it may be made at once and was not added."""
+        """Adds a retry. Returns true if the retry may be made at once and was not added."""
         if due <= now and (not budgeted or self.budget.take(now)):
             return True
         state.delayed += 1
@@ -69,7 +73,7 @@
             if state.cancelled or state.failed:
                 continue
             if budgeted and not self.budget.take(now):
-                heapq.heappush(heap, (now + BUDGET_WAIT, sequence, state, task, budgeted))
+                heapq.heappush(heap, (now + BUDGET_RETRY_DELAY_S, sequence, state, task, budgeted))
                 continue
             state.delayed -= 1
             due.append((state, task))
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -90,7 +90,7 @@
     # Guards G5: a job with a start intent may be running.
     table = KeyTable(clock)
     table.record("k", JOB, "digest")
-    table.intend(StartIntent(JOB, AttemptId("j1.0.1.0"), UpstreamId("u1")))
+    table.record_start_intent(StartIntent(JOB, AttemptId("j1.0.1.0"), UpstreamId("u1")))
     table.release(JOB)
     assert table.lookup("k", "digest") == EndedKey(JOB)
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -6,7 +6,7 @@
 
 
 def test_retries_are_bounded_by_starts():
-    budget = RetryBudget(share=0.2, floor=1.0, burst=10.0)
+    budget = RetryBudget(tokens_per_start=0.2, tokens_per_second=1.0, burst=10.0)
     assert [budget.take(0.0) for _ in range(11)] == [True] * 10 + [False]
     for _ in range(10):
         budget.earn()
