--- a/hornbeamramp/job_lifecycle.py
+++ b/hornbeamramp/job_lifecycle.py
@@ -73,7 +73,7 @@
         # Jobs whose acceptance is being recorded: they have no record yet, but may run.
         self._in_acceptance: set[JobId] = set()
 
-    def is_settled(self) -> bool:
+    def is_journal_merged(self) -> bool:
         """Returns whether journal and upstreams have been merged after the claim."""
         return self._journal_merged.is_set()
 
--- a/hornbeamramp/owner.py
+++ b/hornbeamramp/owner.py
@@ -193,7 +193,7 @@
         """Tells the fate of a job id; one never seen is refused from now on."""
         record = self.records.get(request.job_id)
         if record is None:
-            if not self._jobs.is_settled() or self._closed.is_set():
+            if not self._jobs.is_journal_merged() or self._closed.is_set():
                 return ResolveReply(None)
             if self._jobs.is_in_acceptance(request.job_id):
                 return ResolveReply(None)
