--- a/hornbeamramp/job_lifecycle.py
+++ b/hornbeamramp/job_lifecycle.py
@@ -273,7 +273,7 @@
 
     def _reconcile_adopted(self, record: JobRecord) -> None:
         """Queues the tasks of an adopted job that no upstream runs, or ends the job."""
-        ended = self._scheduler.settle(record.job.id, record.result_by_task.keys())
+        ended = self._scheduler.reconcile_adopted(record.job.id, record.result_by_task.keys())
         if ended is Ended.JOB_FAILED:
             record.uncertain = True
         self._finish_if_ended(record, ended)
