--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -111,7 +111,7 @@
             if shape is not None and state.tasks_by_rack.get(shape.rack):
                 state.tasks_by_rack[shape.rack] -= 1
 
-    def recall(self, attempt: Attempt, now: float) -> None:
+    def withdraw_start(self, attempt: Attempt, now: float) -> None:
         """Withdraws a start that `decide` has not returned yet and queues the task again."""
         self.free(attempt, now)
         if not (attempt.state.cancelled or attempt.state.failed):
@@ -188,7 +188,7 @@
                 if sibling.id not in self._tasks.attempt_by_id:
                     continue
                 if not sibling.emitted:
-                    self.recall(sibling, now)
+                    self.withdraw_start(sibling, now)
                 elif not sibling.stopping:
                     self._dispatcher.order(Stop(sibling.id, sibling.upstream_id), sibling)
         self._requeue(attempt, end, now)
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -379,7 +379,7 @@
         now = self._now()
         for attempt in self._tasks.on_upstream(upstream_id):
             if not attempt.emitted and attempt.id in self._tasks.attempt_by_id:
-                self._ends.recall(attempt, now)
+                self._ends.withdraw_start(attempt, now)
         self._dispatcher.give_up_holds(upstream_id, now)
 
     def _hold(
