--- a/hornbeamramp/callbacks.py
+++ b/hornbeamramp/callbacks.py
@@ -23,7 +23,7 @@
         self._gained = gained
         self._lost = lost
 
-    def gain(self, state: ShardState) -> None:
+    def notify_gained(self, state: ShardState) -> None:
         """Calls ``gained`` once an earlier call of ``lost`` has ended."""
         state.gaining = asyncio.ensure_future(self._call_gained(state, state.epoch))
 
--- a/hornbeamramp/ownership.py
+++ b/hornbeamramp/ownership.py
@@ -326,7 +326,7 @@
         state.own(claimed.epoch, claimed.record)
         self._proofs.note_fence(state.id, claimed.fenced)
         log.info("owner of {} with epoch {}", state.id, state.epoch)
-        self._callbacks.gain(state)
+        self._callbacks.notify_gained(state)
         return True
 
     # Releasing
