--- a/hornbeamramp/callbacks.py
+++ b/hornbeamramp/callbacks.py
@@ -27,7 +27,7 @@
         """Calls ``gained`` once an earlier call of ``lost`` has ended."""
         state.gaining = asyncio.ensure_future(self._call_gained(state, state.epoch))
 
-    def lose(self, state: ShardState) -> asyncio.Task[None]:
+    def notify_lost(self, state: ShardState) -> asyncio.Task[None]:
         """Cancels a call of ``gained`` that still runs, and returns the call of ``lost``."""
         gaining, state.gaining = state.gaining, None
         if gaining is not None:
--- a/hornbeamramp/ownership.py
+++ b/hornbeamramp/ownership.py
@@ -280,7 +280,7 @@
     def _give_up(self, state: ShardState) -> asyncio.Task[None]:
         """Stops to own a shard at once. Returns the task that calls `lost`."""
         state.give_up()
-        return self._callbacks.lose(state)
+        return self._callbacks.notify_lost(state)
 
     # Claiming
 
