--- a/hornbeamramp/durable_jobs.py
+++ b/hornbeamramp/durable_jobs.py
@@ -204,7 +204,7 @@
         return True
 
     async def record_ended(self, job: Job, outcome: Outcome) -> bool:
-        """Records the outcome and tells whether it may be reported.
+        """Records the outcome and returns whether it may be reported.
 
         While the store is unavailable, the outcome is kept only in memory. A later owner would run
         an accepted job again, so its outcome "not run" is reported only once it is recorded.
--- a/hornbeamramp/journal.py
+++ b/hornbeamramp/journal.py
@@ -262,7 +262,7 @@
         if self._fenced is not None:
             return Err(self._fenced)
         head: JournalHead | None = None
-        base: int | None = None
+        base_version: int | None = None
         message = ""
         for attempt in range(MAX_PUT_ATTEMPTS):
             if attempt:
@@ -272,10 +272,10 @@
                     await self._resolve()
                 if head is not None and self._head.write_id == head.write_id:
                     return Ok(None)
-                if head is None or base != self._version:
+                if head is None or base_version != self._version:
                     if head is not None:
                         self._segments.discard(head)
-                    base, head = self._version, await build()
+                    base_version, head = self._version, await build()
             except _FencedError:
                 if head is not None and head.write_id in self._unresolved_by_write_id:
                     # The put may have taken effect before the other owner opened the journal.
@@ -287,7 +287,7 @@
                     return Err(JournalUnavailable("not_run", message))
                 continue
             try:
-                version = await self._platform.put(self._key, _encode(head), base)
+                version = await self._platform.put(self._key, _encode(head), base_version)
             except ConflictError:
                 self._must_read = True
             except StoreUnavailableError as error:
--- a/hornbeamramp/journal_records.py
+++ b/hornbeamramp/journal_records.py
@@ -24,7 +24,7 @@
 ]
 
 ANSWER_RETENTION = timedelta(minutes=10)
-# A repeated request must not run again after its answer is gone, so keys outlive answers.
+# A repeated request must not run again after its answer is dropped, so keys are kept longer.
 KEY_RETENTION = timedelta(hours=24)
 
 
@@ -54,7 +54,7 @@
     """An idempotency key was taken by a job.
 
     `digest`
-        `Job.digest` of the job, to tell a repeated request from another one.
+        `Job.digest` of the job, to distinguish a repeated request from a different one.
     `sent_to`
         Data centre that runs the job, ``None`` if it is the key's home.
     `recorded_at`
@@ -107,7 +107,7 @@
     def replay(
         cls, records: Iterable[JournalRecord], now: datetime | None = None
     ) -> "JournalState":
-        """Returns the state after ``records``; with ``now``, without what is past retention."""
+        """Returns the state after ``records``; with ``now``, without records past retention."""
         state = cls()
         for record in records:
             state.apply(record)
