--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -117,7 +117,7 @@
         if not (attempt.state.cancelled or attempt.state.failed):
             self._retry(attempt, TaskEnd.NOT_STARTED, now)
 
-    def recount(self, attempt: Attempt, now: float) -> None:
+    def update_shares(self, attempt: Attempt, now: float) -> None:
         """Updates the shares after the attempt's reservation has changed."""
         amount: Vector = attempt.reservation.amount
         if amount != attempt.counted:
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -286,7 +286,7 @@
             return
         self._upstreams.ledger.shrink(attempt.reservation, Resources(*attempt.limited_to))
         attempt.limited_to = None
-        self._ends.recount(attempt, self._now())
+        self._ends.update_shares(attempt, self._now())
 
     def ended(self, attempt_id: AttemptId, end: TaskEnd, usage: Resources | None = None) -> Ended:
         """Reports the end of an attempt, frees its capacity and tells what follows for its job.
@@ -316,7 +316,7 @@
                 self.throttled(attempt_id)
             return
         self._upstreams.ledger.grow(attempt.reservation, usage)
-        self._ends.recount(attempt, self._now())
+        self._ends.update_shares(attempt, self._now())
 
     def expected_wait(self, band: Band) -> timedelta:
         """Returns the expected time in the queue of a job of this band."""
