--- a/tests/test_durable_jobs.py
+++ b/tests/test_durable_jobs.py
@@ -1,4 +1,4 @@
-"""Tests of what outlives a shard's owner: keys, accepted jobs, intents, answers."""
+"""Tests of the job state that survives a change of owner: keys, accepted jobs, intents, answers."""
 
 from hornbeamramp.decisions import Start
 from hornbeamramp.durable_jobs import DurableJobs
@@ -11,7 +11,7 @@
 SHARD = ShardId("tickets@gebze")
 
 
-def job(job_id: str, **fields) -> BatchJob:
+def make_job(job_id: str, **fields) -> BatchJob:
     return BatchJob(id=JobId(job_id), route="settlement", pool="tickets", team="t", **fields)
 
 
@@ -19,66 +19,66 @@
     return Start(f"{job.id}.0.1.1", job, 0, "w-1", Resources(), job.declared_run)
 
 
-async def opened(store, clock, epoch: int) -> DurableJobs:
+async def open_durable_jobs(store, clock, epoch: int) -> DurableJobs:
     durable = DurableJobs(store, clock, SHARD)
     await durable.open(Epoch(epoch))
     return durable
 
 
 def test_a_key_and_its_answer_outlive_the_owner(store, clock, run):
-    """Guards against a second run of a keyed job that is sent again after its owner died."""
+    """Guards against a second run of a job with a key that is sent again after its owner failed."""
 
     async def scenario():
-        first = await opened(store, clock, 1)
-        done = job("a", key="k")
+        first = await open_durable_jobs(store, clock, 1)
+        done = make_job("a", key="k")
         (await first.record_accepted(done)).unwrap()
         outcome = Completed(done.id, [], "gebze")
         await first.record_ended(done, outcome)
-        second = await opened(store, clock, 2)
-        assert second.find_key(job("b", key="k")).unwrap() == "a"
+        second = await open_durable_jobs(store, clock, 2)
+        assert second.find_key(make_job("b", key="k")).unwrap() == "a"
         assert second.answer(JobId("a")) == outcome
-        other = second.find_key(job("c", key="k", payload=b"other")).unwrap_err()
+        other = second.find_key(make_job("c", key="k", payload=b"other")).unwrap_err()
         assert other.reason is RefusalReason.KEY_REUSED
 
     run(scenario())
 
 
 def test_an_intent_without_an_end_may_have_run(store, clock, run):
-    """Guards against starting a non-idempotent job again after its owner died."""
+    """Guards against starting a non-idempotent job again after its owner failed."""
 
     async def scenario():
-        first = await opened(store, clock, 1)
-        booking = job("a", idempotent=False)
+        first = await open_durable_jobs(store, clock, 1)
+        booking = make_job("a", idempotent=False)
         assert await first.record_intent(start_of(booking))
-        second = await opened(store, clock, 2)
+        second = await open_durable_jobs(store, clock, 2)
         assert second.may_have_run(JobId("a"))
 
     run(scenario())
 
 
 def test_nothing_that_must_last_is_accepted_without_the_store(store, clock, run):
-    """Guards against a 202 for a job that no store has."""
+    """Guards against a 202 reply for a job that is not recorded in the store."""
 
     async def scenario():
-        durable = await opened(store, clock, 1)
+        durable = await open_durable_jobs(store, clock, 1)
         store.mode = StoreMode.DOWN
-        refused = (await durable.record_accepted(job("a", asynchronous=True))).unwrap_err()
+        refused = (await durable.record_accepted(make_job("a", asynchronous=True))).unwrap_err()
         assert refused.reason is RefusalReason.STORE_UNAVAILABLE
-        assert not await durable.record_intent(start_of(job("b", idempotent=False)))
-        (await durable.record_accepted(job("c", key="k"))).unwrap()
-        assert durable.find_key(job("d", key="k")).unwrap() == "c"
+        assert not await durable.record_intent(start_of(make_job("b", idempotent=False)))
+        (await durable.record_accepted(make_job("c", key="k"))).unwrap()
+        assert durable.find_key(make_job("d", key="k")).unwrap() == "c"
 
     run(scenario())
 
 
 def test_a_job_that_did_not_run_frees_its_key(store, clock, run):
-    """Guards against a key that answers not run for ever."""
+    """Guards against a key whose repeated requests are all answered "not run"."""
 
     async def scenario():
-        durable = await opened(store, clock, 1)
-        refused = job("a", key="k")
+        durable = await open_durable_jobs(store, clock, 1)
+        refused = make_job("a", key="k")
         (await durable.record_accepted(refused)).unwrap()
         await durable.record_ended(refused, NotRun(refused.id, RefusalReason.EXPIRED, ""))
-        assert durable.find_key(job("b", key="k")).unwrap() is None
+        assert durable.find_key(make_job("b", key="k")).unwrap() is None
 
     run(scenario())
--- a/tests/test_idempotency.py
+++ b/tests/test_idempotency.py
@@ -35,28 +35,28 @@
 )
 from hornbeamramp.states import RefusalReason
 
-SITES = [DataCentreId(name) for name in ("gebze", "dilovasi", "tuzla", "izmit")]
+DATA_CENTRES = [DataCentreId(name) for name in ("gebze", "dilovasi", "tuzla", "izmit")]
 JOB = JobId("j1")
 COMPLETED = Completed(JOB, [], DataCentreId("gebze"))
 
 
 def test_home_is_the_same_for_every_member_and_spread_evenly():
-    # Guards G5: two homes of one key would run its job twice.
-    homes = [home_data_centre(f"key-{n}", SITES) for n in range(4_000)]
-    assert homes == [home_data_centre(f"key-{n}", SITES[::-1]) for n in range(4_000)]
-    assert all(800 < homes.count(name) < 1_200 for name in SITES)
-    fewer = [home_data_centre(f"key-{n}", SITES[:3]) for n in range(4_000)]
-    assert all(a == b for a, b in zip(homes, fewer, strict=True) if a != SITES[3])
+    # Guards against two homes of one key, which would run its job twice (G5).
+    homes = [home_data_centre(f"key-{n}", DATA_CENTRES) for n in range(4_000)]
+    assert homes == [home_data_centre(f"key-{n}", DATA_CENTRES[::-1]) for n in range(4_000)]
+    assert all(800 < homes.count(name) < 1_200 for name in DATA_CENTRES)
+    fewer = [home_data_centre(f"key-{n}", DATA_CENTRES[:3]) for n in range(4_000)]
+    assert all(a == b for a, b in zip(homes, fewer, strict=True) if a != DATA_CENTRES[3])
     with pytest.raises(ValueError, match="no data centre"):
         home_data_centre("key", [])
 
 
 def test_same_body_joins_then_gets_the_answer_and_another_body_conflicts(clock):
-    # Guards G5 and G3: a repeated request runs again, or gets another request's answer.
+    # Guards against a repeated request that runs again (G5) or gets another request's answer (G3).
     table = KeyTable(clock)
     assert table.lookup("k", "digest") == NewKey()
-    assert table.record("k", JOB, "digest", SITES[1]) == NewKey()
-    assert table.record("k", JobId("j2"), "digest") == JoinedKey(JOB, SITES[1])
+    assert table.record("k", JOB, "digest", DATA_CENTRES[1]) == NewKey()
+    assert table.record("k", JobId("j2"), "digest") == JoinedKey(JOB, DATA_CENTRES[1])
     assert table.record("k", JobId("j2"), "other") == KeyConflict(JOB)
     table.end(COMPLETED)
     assert table.record("k", JobId("j2"), "digest") == AnsweredKey(COMPLETED)
@@ -64,7 +64,8 @@
 
 
 def test_answer_is_dropped_first_and_the_key_a_day_later(clock):
-    # Guards the bounds on memory, and G5 in the time between the two.
+    # Guards against unbounded memory, and against a second run of a repeated request after the
+    # answer was dropped (G5).
     table = KeyTable(clock)
     table.record("k", JOB, "digest")
     table.end(COMPLETED)
@@ -77,7 +78,7 @@
 
 
 def test_not_run_and_release_free_the_key(clock):
-    # Guards a retry after "not run": it must not be answered with the refusal for ever.
+    # Guards against a retry after "not run" that is always answered with the first refusal.
     table = KeyTable(clock)
     table.record("k", JOB, "digest")
     table.end(NotRun(JOB, RefusalReason.OVERLOAD, "full"))
@@ -87,7 +88,7 @@
 
 
 def test_release_keeps_the_key_of_a_job_that_may_have_run(clock):
-    # Guards G5: a job with a start intent may be running.
+    # Guards against a second run of a job with a start intent, which may be running (G5).
     table = KeyTable(clock)
     table.record("k", JOB, "digest")
     table.record_start_intent(StartIntent(JOB, AttemptId("j1.0.1.0"), UpstreamId("u1")))
@@ -96,7 +97,7 @@
 
 
 def test_number_of_keys_is_bounded(clock):
-    # Guards memory against a caller that never repeats a key.
+    # Guards against unbounded memory from a caller that uses a new key for each request.
     table = KeyTable(clock, limit=2)
     assert table.record("a", JobId("j1"), "digest") == NewKey()
     assert table.record("b", JobId("j2"), "digest") == NewKey()
@@ -105,7 +106,7 @@
 
 
 def test_table_is_rebuilt_from_the_journal(store, clock, run):
-    # Guards G5 over a change of owner.
+    # Guards against a second run of a repeated request after a change of owner (G5).
     async def scenario():
         journal = Journal(store, clock, ShardId("tickets@gebze"))
         await journal.open(1)
--- a/tests/test_journal.py
+++ b/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Tests of the shard journal: group commit, fencing, lost answers, compaction, retention."""
+"""Tests of the shard journal: group commit, fencing, lost replies, compaction, retention."""
 
 import asyncio
 from datetime import timedelta
@@ -52,13 +52,13 @@
     return JobEnded(Completed(JobId(f"j{number}"), [], "gebze"), clock.now())
 
 
-async def opened(store, clock, epoch=1) -> Journal:
+async def open_journal(store, clock, epoch=1) -> Journal:
     journal = Journal(store, clock, SHARD)
     await journal.open(Epoch(epoch))
     return journal
 
 
-async def with_time(clock, coroutine, step=SECOND):
+async def advance_until_done(clock, coroutine, step=SECOND):
     """Runs the coroutine while the clock moves."""
     task = asyncio.create_task(coroutine)
     for _ in range(20):
@@ -68,30 +68,30 @@
     return await asyncio.wait_for(task, 5)
 
 
-async def replayed(store, clock, epoch=99) -> JournalState:
+async def load_state(store, clock, epoch=99) -> JournalState:
     records = await Journal(store, clock, SHARD).open(Epoch(epoch))
     return JournalState.replay(records)
 
 
 def test_concurrent_appends_share_few_writes(store, clock, run):
-    # Guards the store's write rate: a write per record would exceed it at peak.
+    # Guards against a write per record, which would exceed the store's write rate at peak.
     async def scenario():
-        journal = await opened(store, clock)
-        before = store.calls_by_name["put"]
+        journal = await open_journal(store, clock)
+        puts_before = store.calls_by_name["put"]
         results = await asyncio.gather(
             *(journal.append(accepted(clock, number, 0)) for number in range(50))
         )
         assert results == [Ok(None)] * 50
-        assert store.calls_by_name["put"] - before <= 2
-        assert len((await replayed(store, clock)).live_job_by_id) == 50
+        assert store.calls_by_name["put"] - puts_before <= 2
+        assert len((await load_state(store, clock)).live_job_by_id) == 50
 
     run(scenario())
 
 
 def test_records_are_replayed_in_order_over_many_segments(store, clock, run):
-    # Guards recovery: records left out or mixed up when the inline part moves to a segment.
+    # Guards against records lost or reordered when the inline records move to a segment.
     async def scenario():
-        journal = await opened(store, clock)
+        journal = await open_journal(store, clock)
         for number in range(40):
             assert (await journal.append(accepted(clock, number, 2_000))).is_ok()
         assert any("/segment/" in entry.key for entry in store.entries())
@@ -102,19 +102,19 @@
 
 
 def test_append_of_the_old_owner_fails_after_a_claim(store, clock, run):
-    # Guards against two owners: a paused owner must not add to its successor's journal.
+    # Guards against two writers: a paused owner that appends to its successor's journal.
     async def scenario():
-        old = await opened(store, clock, 1)
+        old = await open_journal(store, clock, 1)
         await old.append(accepted(clock, 1))
-        new = await opened(store, clock, 2)
+        new = await open_journal(store, clock, 2)
         assert JobId("j1") in new.state.live_job_by_id
-        result = await with_time(clock, old.append(accepted(clock, 2)))
+        result = await advance_until_done(clock, old.append(accepted(clock, 2)))
         assert result.err_value.epoch == 2 and isinstance(result.err_value, Fenced)
         puts = store.calls_by_name["put"]
         assert isinstance((await old.append(accepted(clock, 3))).err_value, Fenced)
         assert store.calls_by_name["put"] == puts
         assert (await new.append(accepted(clock, 4))).is_ok()
-        assert set((await replayed(store, clock)).live_job_by_id) == {"j1", "j4"}
+        assert set((await load_state(store, clock)).live_job_by_id) == {"j1", "j4"}
 
     run(scenario())
 
@@ -122,7 +122,7 @@
 def test_append_between_read_and_claim_is_replayed(store, clock, run):
     # Guards against a claim that overwrites a record the old owner reported as durable.
     async def scenario():
-        old = await opened(store, clock, 1)
+        old = await open_journal(store, clock, 1)
         new = Journal(store, clock, SHARD)
         for number in range(20):
             appended, _ = await asyncio.gather(
@@ -133,19 +133,19 @@
         await asyncio.sleep(0)
         records = await new.open(Epoch(2))
         await clock.advance(5 * SECOND)
-        held = {record.job.id for record in records}
-        assert (await append).is_ok() == ("j20" in held)
-        assert {f"j{n}" for n in range(20)} <= held
+        recorded_ids = {record.job.id for record in records}
+        assert (await append).is_ok() == ("j20" in recorded_ids)
+        assert {f"j{n}" for n in range(20)} <= recorded_ids
 
     run(scenario())
 
 
 def test_open_with_a_lower_epoch_fails(store, clock, run):
-    # Guards against an owner whose claim was overtaken.
+    # Guards against a late claim by an owner that a higher epoch has superseded.
     async def scenario():
-        await opened(store, clock, 5)
+        await open_journal(store, clock, 5)
         with pytest.raises(ConflictError):
-            await opened(store, clock, 4)
+            await open_journal(store, clock, 4)
 
     run(scenario())
 
@@ -153,42 +153,43 @@
 def test_lost_answer_is_resolved_by_the_write_id(store, clock, run):
     # Guards against a record written twice, and against a durable record reported as unknown.
     async def scenario():
-        journal = await opened(store, clock)
+        journal = await open_journal(store, clock)
         store.answers_to_lose = 1
         puts = store.calls_by_name["put"]
-        assert await with_time(clock, journal.append(accepted(clock, 1))) == Ok(None)
+        assert await advance_until_done(clock, journal.append(accepted(clock, 1))) == Ok(None)
         assert store.calls_by_name["put"] == puts + 1
-        assert journal.state == await replayed(store, clock)
+        assert journal.state == await load_state(store, clock)
 
     run(scenario())
 
 
 def test_store_that_is_down_reports_not_run_at_once(store, clock, run):
-    # Guards the caller's immediate answer: with no write sent, the record can't be in the store.
+    # Guards against a late or "unknown" result when no write was sent, so that the record can't
+    # be in the store.
     async def scenario():
-        journal = await opened(store, clock)
+        journal = await open_journal(store, clock)
         store.mode = StoreMode.DOWN
         result = await journal.append(accepted(clock, 1))
         assert result.err_value.outcome == "not_run"
         store.mode = StoreMode.UP
         assert (await journal.append(accepted(clock, 2))).is_ok()
-        assert set((await replayed(store, clock)).live_job_by_id) == {"j2"}
+        assert set((await load_state(store, clock)).live_job_by_id) == {"j2"}
 
     run(scenario())
 
 
 def test_unresolved_write_is_unknown_and_later_appends_go_on(store, clock, run):
-    # Guards against "not run" for a write that took effect, and against an owner that fences
-    # itself because it meets its own head.
+    # Guards against "not run" for a write that took effect, and against an owner that considers
+    # itself fenced when it reads its own head.
     async def scenario():
-        journal = await opened(store, clock)
+        journal = await open_journal(store, clock)
         store.mode = StoreMode.LOSE_ANSWERS
-        result = await with_time(clock, journal.append(accepted(clock, 1)))
+        result = await advance_until_done(clock, journal.append(accepted(clock, 1)))
         assert isinstance(result.err_value, JournalUnavailable)
         assert result.err_value.outcome == "unknown"
         store.mode = StoreMode.UP
-        assert await with_time(clock, journal.append(accepted(clock, 2))) == Ok(None)
-        assert set((await replayed(store, clock)).live_job_by_id) == {"j1", "j2"}
+        assert await advance_until_done(clock, journal.append(accepted(clock, 2))) == Ok(None)
+        assert set((await load_state(store, clock)).live_job_by_id) == {"j1", "j2"}
 
     run(scenario())
 
@@ -196,13 +197,13 @@
 def test_lost_answer_followed_by_a_claim_is_unknown(store, clock, run):
     # Guards against "not in the journal" for a record that the next owner has taken over.
     async def scenario():
-        old = await opened(store, clock, 1)
+        old = await open_journal(store, clock, 1)
         store.mode = StoreMode.LOSE_ANSWERS
         append = asyncio.create_task(old.append(accepted(clock, 1)))
         for _ in range(5):
             await asyncio.sleep(0)
         store.mode = StoreMode.UP
-        new = await opened(store, clock, 2)
+        new = await open_journal(store, clock, 2)
         assert JobId("j1") in new.state.live_job_by_id
         await clock.advance(SECOND)
         error = (await append).err_value
@@ -212,34 +213,34 @@
 
 
 def test_store_that_returns_older_gets_the_journal_back(store, clock, run):
-    # Guards durable records against a store restored to an earlier state, or to nothing.
+    # Guards against the loss of durable records when the store returns with older or no data.
     async def scenario():
-        journal = await opened(store, clock)
+        journal = await open_journal(store, clock)
         await journal.append(accepted(clock, 1))
-        saved = store.entries()
+        saved_entries = store.entries()
         await journal.append(accepted(clock, 2))
-        store.restore(saved)
+        store.restore(saved_entries)
         assert await journal.check() == Ok(None)
-        assert set((await replayed(store, clock, 1)).live_job_by_id) == {"j1", "j2"}
+        assert set((await load_state(store, clock, 1)).live_job_by_id) == {"j1", "j2"}
         await journal.open(Epoch(2))
         store.restore([])
-        assert await with_time(clock, journal.append(accepted(clock, 3))) == Ok(None)
-        assert set((await replayed(store, clock)).live_job_by_id) == {"j1", "j2", "j3"}
+        assert await advance_until_done(clock, journal.append(accepted(clock, 3))) == Ok(None)
+        assert set((await load_state(store, clock)).live_job_by_id) == {"j1", "j2", "j3"}
 
     run(scenario())
 
 
 def test_compaction_bounds_what_the_store_holds(store, clock, run):
-    # Guards the store's size: ended jobs and expired answers must not pile up.
+    # Guards against unbounded growth of the store from ended jobs and expired answers.
     async def scenario():
-        journal = await opened(store, clock)
+        journal = await open_journal(store, clock)
         for number in range(400):
             await journal.append(accepted(clock, number, 2_000))
             await journal.append(completed(clock, number))
             await clock.advance(30 * SECOND)
         await journal.close()
-        held = sum(len(entry.value) for entry in store.entries())
-        assert held < 400_000
+        stored_bytes = sum(len(entry.value) for entry in store.entries())
+        assert stored_bytes < 400_000
         keys = {entry.key for entry in store.entries()}
         head = journal._head
         assert keys == {f"journal/{SHARD}", *(r.key for r in [*head.checkpoint, *head.segments])}
@@ -250,14 +251,14 @@
 
 
 def test_large_state_is_split_into_values_the_store_takes(store, clock, run):
-    # Guards compaction of large payloads: values above 1 MB are refused by the store.
+    # Guards against compaction that writes values above 1 MB, which the store refuses.
     async def scenario():
-        journal = await opened(store, clock)
+        journal = await open_journal(store, clock)
         for number in range(4):
             assert (await journal.append(accepted(clock, number, 800_000))).is_ok()
         await journal.close()
-        assert len((await replayed(store, clock)).live_job_by_id) == 4
-        other = await opened(store, clock, 100)
+        assert len((await load_state(store, clock)).live_job_by_id) == 4
+        other = await open_journal(store, clock, 100)
         result = await other.append(accepted(clock, 9, 960_000))
         assert isinstance(result.err_value, RecordTooLarge)
 
@@ -265,19 +266,19 @@
 
 
 def test_missing_segment_is_an_error(store, clock, run):
-    # Guards recovery against a silent loss of accepted jobs.
+    # Guards against recovery that loses accepted jobs without an error.
     async def scenario():
-        journal = await opened(store, clock)
+        journal = await open_journal(store, clock)
         await journal.append(accepted(clock, 1, 20_000))
         store.restore([entry for entry in store.entries() if "/segment/" not in entry.key])
         with pytest.raises(ProtocolError):
-            await opened(store, clock, 2)
+            await open_journal(store, clock, 2)
 
     run(scenario())
 
 
 def test_open_while_the_store_is_down_can_be_repeated(store, clock, run):
-    # Guards a claim against an outage in its midst.
+    # Guards against a claim that an outage of the store leaves impossible to repeat.
     async def scenario():
         journal = Journal(store, clock, SHARD)
         store.mode = StoreMode.DOWN
@@ -297,13 +298,14 @@
 
 
 def test_state_keeps_intents_without_an_end(clock):
-    # Guards G5: after a takeover the new owner must know which jobs may have been started.
+    # Guards against a new owner that starts a job again that may have been started (G5).
     state = JournalState.replay([intent(1), intent(2), intent(1), completed(clock, 2)])
     assert state.intents_by_job_id == {JobId("j1"): [intent(1)]}
 
 
 def test_state_drops_answers_after_ten_minutes_and_keeps_the_key(clock):
-    # Guards the bound on answers, and G5: a repeated settlement after that must not run.
+    # Guards against unbounded answers, and against a second run of a repeated request after its
+    # answer was dropped (G5).
     key = KeyRecorded("k", JobId("j1"), "digest", None, clock.now())
     state = JournalState.replay([key, completed(clock, 1)])
     state.prune(clock.now() + timedelta(minutes=9, seconds=59))
@@ -315,7 +317,8 @@
 
 
 def test_key_is_free_after_not_run_and_kept_after_forgetting_a_job_that_ran(clock):
-    # Guards a retry after "not run", and G5 after the answer was fetched.
+    # Guards against a refused retry after "not run", and against a second run after the answer
+    # was fetched (G5).
     key = KeyRecorded("k", JobId("j1"), "digest", None, clock.now())
     refused = JobEnded(NotRun(JobId("j1"), RefusalReason.OVERLOAD, "full"), clock.now())
     assert not JournalState.replay([key, refused]).key_record_by_key
@@ -326,7 +329,7 @@
 
 
 def test_checkpoint_records_replay_to_the_same_state(clock):
-    # Guards compaction: a checkpoint that loses part of the state.
+    # Guards against a compaction whose checkpoint loses part of the state.
     key = KeyRecorded("k", JobId("j1"), "digest", None, clock.now())
     other = KeyRecorded("l", JobId("j4"), "digest", "tuzla", clock.now())
     records = [accepted(clock, 1), key, intent(1), accepted(clock, 2), completed(clock, 2), other]
--- a/tests/test_journal_properties.py
+++ b/tests/test_journal_properties.py
@@ -36,55 +36,55 @@
 )
 
 
-class World:
-    """Owners of one shard in turn, and what each append reported."""
+class JournalScenario:
+    """Runs successive owners of one shard and records the result of each append."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
         self.store = MemoryPlatform(self.clock)
         self.journals = []
         self.epoch = 0
-        self.saved = None
+        self.saved_entries = None
         self.restored = False
         # Each entry: index of the journal, record and the task of its append, in order.
         self.appends = []
 
-    async def finish(self, coroutine):
+    async def run_to_end(self, coroutine):
         task = asyncio.create_task(coroutine)
         while not task.done():
             await self.clock.advance(timedelta(milliseconds=100))
         return task.result()
 
     async def claim(self) -> None:
-        # After the store's return incumbents come first (design page, 4.2): the owner checks its
-        # journal before another member may claim. An owner that died first is not recoverable.
-        if self.restored and (await self.finish(self.journals[-1].check())).is_err():
+        # After an outage of the store the current owner checks its journal before another member
+        # may claim (design page, 4.2). If the owner fails before that, the loss is permanent.
+        if self.restored and (await self.run_to_end(self.journals[-1].check())).is_err():
             return
         self.restored = False
         self.epoch += 1
         journal = Journal(self.store, self.clock, SHARD)
         try:
-            await self.finish(journal.open(Epoch(self.epoch)))
+            await self.run_to_end(journal.open(Epoch(self.epoch)))
         except (StoreUnavailableError, ConflictError):
             return
         self.journals.append(journal)
-        self.saved = None
+        self.saved_entries = None
 
     async def run(self, script) -> None:
         await self.claim()
         for step in script:
-            await self.take(*step)
+            await self.apply_step(*step)
         self.store.mode, self.store.answers_to_lose = StoreMode.UP, 0
         await self.clock.advance(timedelta(seconds=10))
         assert all(task.done() for *_, task in self.appends)
         assert self.journals[-1]._fenced is not None or (
-            await self.finish(self.journals[-1].check())
+            await self.run_to_end(self.journals[-1].check())
         ) == Ok(None)
         last = Journal(self.store, self.clock, SHARD)
         records = await last.open(Epoch(self.epoch + 1))
         self.check(JournalState.replay(records))
 
-    async def take(self, kind, *arguments) -> None:
+    async def apply_step(self, kind, *arguments) -> None:
         match kind, arguments:
             case "accept", (number, size):
                 self.append(JobAccepted(make_job(number, size), self.clock.now()))
@@ -101,15 +101,15 @@
             case "claim", ():
                 await self.claim()
             case "save", ():
-                self.saved = self.store.entries()
+                self.saved_entries = self.store.entries()
             case "restore", ():
-                # A store restored to before the present owner's claim is a fault of ownership.
-                if self.saved is not None:
-                    self.store.restore(self.saved)
+                # A restore to a state before the current owner's claim is a fault of ownership.
+                if self.saved_entries is not None:
+                    self.store.restore(self.saved_entries)
                     self.restored = True
 
     def append(self, record) -> None:
-        # The old owner goes on as well; its records count if they are reported durable.
+        # The previous owner appends too; its records count if they are reported durable.
         for index, journal in enumerate(self.journals[-2:]):
             if index == 0 and len(self.journals) > 1 and not isinstance(record, JobAccepted):
                 continue
@@ -117,7 +117,7 @@
             self.appends.append((record, task))
 
     def check(self, state) -> None:
-        live, durable_answers, excused, not_run = set(), set(), set(), set()
+        live, durable_answers, may_be_recorded, not_run = set(), set(), set(), set()
         uncertain = set()
         for record, task in self.appends:
             result = task.result()
@@ -136,13 +136,15 @@
             if isinstance(record, JobAccepted):
                 not_run.add(job_id)
                 if isinstance(result, Ok) or job_id in uncertain:
-                    excused.add(job_id)
+                    may_be_recorded.add(job_id)
         for job_id in live - uncertain:
             assert job_id in state.live_job_by_id, "a durable job was lost"
         for job_id in durable_answers - uncertain:
             assert job_id in state.answer_by_job_id, "a durable answer was lost"
         for job_id in state.live_job_by_id:
-            assert job_id not in not_run - excused, "reported as not run, yet in the journal"
+            assert (
+                job_id not in not_run - may_be_recorded
+            ), "reported as not run, yet in the journal"
 
 
 def job_of(record) -> JobId:
@@ -164,5 +166,5 @@
 @settings(max_examples=100, deadline=None, derandomize=True)
 @given(steps)
 def test_durable_records_are_in_every_later_replay(script):
-    # Guards acceptance for later execution: a job reported as accepted and then forgotten.
-    asyncio.run(World().run(script))
+    # Guards against a job that is reported as accepted for later execution and then lost.
+    asyncio.run(JournalScenario().run(script))
