--- a/hornbeamramp/callbacks.py
+++ b/hornbeamramp/callbacks.py
@@ -1,4 +1,4 @@
-"""Calls of the owner's callbacks when a shard is gained or lost, one at a time for each shard."""
+"""Calls the owner's callbacks when a shard is gained or lost, one at a time per shard."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -17,17 +17,17 @@
 
 
 class Callbacks:
-    """Calls ``gained`` and ``lost`` in tasks. Their errors are logged and change nothing."""
+    """Calls ``gained`` and ``lost`` in tasks. Their errors are logged and have no other effect."""
 
     def __init__(self, gained: Gained, lost: Lost) -> None:
         self._gained = gained
         self._lost = lost
 
-    def gain(self, state: ShardState) -> None:
+    def notify_gained(self, state: ShardState) -> None:
         """Calls ``gained`` once an earlier call of ``lost`` has ended."""
         state.gained_task = asyncio.ensure_future(self._call_gained(state, state.epoch))
 
-    def lose(self, state: ShardState) -> asyncio.Task[None]:
+    def notify_lost(self, state: ShardState) -> asyncio.Task[None]:
         """Cancels a call of ``gained`` that still runs, and returns the call of ``lost``."""
         gaining, state.gained_task = state.gained_task, None
         if gaining is not None:
@@ -41,10 +41,10 @@
         try:
             await self._gained(state.id, epoch)
         except Exception:
-            log.exception("the callback for the gain of {} failed", state.id)
+            log.exception("callback for the gained shard {} failed", state.id)
 
     async def _call_lost(self, shard: ShardId) -> None:
         try:
             await self._lost(shard)
         except Exception:
-            log.exception("the callback for the loss of {} failed", shard)
+            log.exception("callback for the lost shard {} failed", shard)
--- a/hornbeamramp/ownership.py
+++ b/hornbeamramp/ownership.py
@@ -299,7 +299,7 @@
     def _relinquish(self, state: ShardState) -> asyncio.Task[None]:
         """Relinquishes a shard at once. Returns the task that calls `lost`."""
         state.relinquish()
-        return self._callbacks.lose(state)
+        return self._callbacks.notify_lost(state)
 
     # Claiming
 
@@ -350,7 +350,7 @@
         state.acquire(claimed.epoch, claimed.record)
         self._proofs.set_fenced(state.id, claimed.fenced)
         log.info("claimed {} with epoch {}", state.id, state.epoch)
-        self._callbacks.gain(state)
+        self._callbacks.notify_gained(state)
         return True
 
     # Releasing
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -136,7 +136,7 @@
     def adopt(self, job: Job, attempt_id: AttemptId, upstream_id: UpstreamId) -> None:
         """Takes over a running attempt of an earlier owner, even beyond the upstream's shape.
 
-        The job does not end before `settle` is called for it. Raises ``ValueError`` if
+        The job does not end before `reconcile_adopted` is called for it. Raises ``ValueError`` if
         ``attempt_id`` is not an attempt of the job.
         """
         job_id, task, epoch, number = split_attempt_id(attempt_id)
@@ -207,7 +207,7 @@
         admitted = self._admission.admit(job, state.flow, self._expect(job), parked)
         return admitted.err_value if isinstance(admitted, Err) else None
 
-    def settle(self, job_id: JobId, done: Collection[int]) -> Ended:
+    def reconcile_adopted(self, job_id: JobId, done: Collection[int]) -> Ended:
         """Decides about the tasks of an adopted job that no upstream runs any more.
 
         To be called once the upstreams have been listed. ``done`` are the tasks whose answers are
@@ -220,7 +220,7 @@
         state.adopted = False
         live = state.live or {}
         missing = [t for t in range(state.job.tasks) if t not in live and t not in done]
-        return self._ends.settle(state, missing)
+        return self._ends.reconcile_adopted(state, missing)
 
     def cancel(self, job_id: JobId) -> Cancellation:
         """Removes a queued job, or returns the attempts of a running job that must be stopped."""
@@ -286,7 +286,7 @@
             return
         self._upstreams.ledger.shrink(attempt.reservation, Resources(*attempt.limited_to))
         attempt.limited_to = None
-        self._ends.recount(attempt, self._now())
+        self._ends.update_shares(attempt, self._now())
 
     def ended(self, attempt_id: AttemptId, end: TaskEnd, usage: Resources | None = None) -> Ended:
         """Reports the end of an attempt, frees its capacity and tells what follows for its job.
@@ -316,7 +316,7 @@
                 self.throttled(attempt_id)
             return
         self._upstreams.ledger.grow(attempt.reservation, usage)
-        self._ends.recount(attempt, self._now())
+        self._ends.update_shares(attempt, self._now())
 
     def expected_wait(self, band: Band) -> timedelta:
         """Returns the expected time in the queue of a job of this band."""
@@ -379,7 +379,7 @@
         now = self._now()
         for attempt in self._tasks.on_upstream(upstream_id):
             if not attempt.emitted and attempt.id in self._tasks.attempt_by_id:
-                self._ends.recall(attempt, now)
+                self._ends.withdraw_start(attempt, now)
         self._dispatcher.give_up_holds(upstream_id, now)
 
     def _hold(
