--- a/hornbeamramp/admission.py
+++ b/hornbeamramp/admission.py
@@ -12,7 +12,7 @@
 from hornbeamramp.jobs import GangJob, Job, ServiceJob
 from hornbeamramp.ledger import Vector
 from hornbeamramp.policies.gang import times_it_fits
-from hornbeamramp.shares import ShareBook
+from hornbeamramp.shares import FairShares
 from hornbeamramp.states import Band, RefusalReason
 
 __all__ = ["DEFAULT_QUEUE_BOUND", "Admission"]
@@ -39,7 +39,7 @@
     """
 
     def __init__(
-        self, queue: JobQueue, shares: ShareBook, queue_bound: int = DEFAULT_QUEUE_BOUND
+        self, queue: JobQueue, shares: FairShares, queue_bound: int = DEFAULT_QUEUE_BOUND
     ) -> None:
         self._queue = queue
         self._shares = shares
--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -11,7 +11,7 @@
 from hornbeamramp.jobs import GangJob
 from hornbeamramp.ledger import Vector
 from hornbeamramp.resources import Resources
-from hornbeamramp.shares import ShareBook
+from hornbeamramp.shares import FairShares
 from hornbeamramp.task_table import Attempt, JobState, TaskTable
 from hornbeamramp.upstream_pool import UpstreamPool
 
@@ -34,7 +34,7 @@
     def __init__(
         self,
         tasks: TaskTable,
-        shares: ShareBook,
+        shares: FairShares,
         queue: JobQueue,
         estimates: Estimates,
         pool: UpstreamPool,
--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -19,7 +19,7 @@
 from hornbeamramp.reservations import expected_room
 from hornbeamramp.resources import Resources
 from hornbeamramp.retries import DelayedRetries
-from hornbeamramp.shares import ShareBook
+from hornbeamramp.shares import FairShares
 from hornbeamramp.states import Band
 from hornbeamramp.task_table import Attempt, JobState, TaskTable
 from hornbeamramp.upstream_pool import UpstreamPool
@@ -46,7 +46,7 @@
         pool: UpstreamPool,
         tasks: TaskTable,
         queue: JobQueue,
-        shares: ShareBook,
+        shares: FairShares,
         policy: PlacementPolicy,
     ) -> None:
         self._pool = pool
--- a/hornbeamramp/job_queue.py
+++ b/hornbeamramp/job_queue.py
@@ -16,7 +16,7 @@
 from hornbeamramp.lanes import Group, Lane, SizeClass, class_key
 from hornbeamramp.ledger import Vector
 from hornbeamramp.resources import Resources
-from hornbeamramp.shares import ShareBook
+from hornbeamramp.shares import FairShares
 from hornbeamramp.states import Band
 from hornbeamramp.task_table import JobState
 
@@ -42,7 +42,7 @@
         If false, jobs are served in order of arrival, whatever their band and team.
     """
 
-    def __init__(self, shares: ShareBook, fair: bool = True) -> None:
+    def __init__(self, shares: FairShares, fair: bool = True) -> None:
         self._shares = shares
         self._fair = fair
         self._order = LaneOrder(shares, fair, self.park)
--- a/hornbeamramp/lane_order.py
+++ b/hornbeamramp/lane_order.py
@@ -4,7 +4,7 @@
 from collections.abc import Callable
 
 from hornbeamramp.lanes import Group, Lane
-from hornbeamramp.shares import ShareBook
+from hornbeamramp.shares import FairShares
 from hornbeamramp.task_table import JobState
 
 __all__ = ["LaneOrder"]
@@ -17,7 +17,7 @@
         Called with a job whose size class is to be skipped.
     """
 
-    def __init__(self, shares: ShareBook, fair: bool, park: Callable[[JobState], None]) -> None:
+    def __init__(self, shares: FairShares, fair: bool, park: Callable[[JobState], None]) -> None:
         self._shares = shares
         self._fair = fair
         self._park = park
--- a/hornbeamramp/preemption.py
+++ b/hornbeamramp/preemption.py
@@ -9,7 +9,7 @@
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.ledger import Vector
 from hornbeamramp.resources import Resources
-from hornbeamramp.shares import ShareBook
+from hornbeamramp.shares import FairShares
 from hornbeamramp.states import Band
 from hornbeamramp.task_table import Attempt, JobState, TaskTable
 from hornbeamramp.upstream_pool import UpstreamPool
@@ -75,7 +75,7 @@
 def plan_tasks(
     pool: UpstreamPool,
     tasks: TaskTable,
-    shares: ShareBook,
+    shares: FairShares,
     state: JobState,
     count: int,
     now: float,
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -30,7 +30,7 @@
 from hornbeamramp.ledger import Reservation
 from hornbeamramp.policies import POLICIES
 from hornbeamramp.resources import Resources
-from hornbeamramp.shares import ShareBook
+from hornbeamramp.shares import FairShares
 from hornbeamramp.states import Band, RefusalReason
 from hornbeamramp.tables import Pool, Quota
 from hornbeamramp.task_table import Attempt, JobState, TaskTable
@@ -76,7 +76,7 @@
         self._epoch = epoch
         policy = POLICIES.find(pool.policy)()
         self._tasks = TaskTable(epoch)
-        self._shares = ShareBook(self._now())
+        self._shares = FairShares(self._now())
         self._upstreams = UpstreamPool(self._tasks, self._shares)
         self._queue = JobQueue(self._shares, policy.fair)
         self._admission = Admission(self._queue, self._shares, queue_bound)
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -22,7 +22,7 @@
 from hornbeamramp.resources import Resources
 from hornbeamramp.states import Band
 
-__all__ = ["ShareBook"]
+__all__ = ["FairShares"]
 
 # Seconds over which demand is learned; a flood that lasts as long as this does not push out what
 # was learned before, because flows that are served keep their demand current.
@@ -39,7 +39,7 @@
 STANDING_MARGIN = 1.5
 
 
-class ShareBook:
+class FairShares:
     """Use by flow, account and team, as dominant shares of the pool's capacity."""
 
     def __init__(self, now: float = 0.0) -> None:
--- a/hornbeamramp/upstream_pool.py
+++ b/hornbeamramp/upstream_pool.py
@@ -8,7 +8,7 @@
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.ledger import Ledger, Vector
 from hornbeamramp.resources import ZERO, Resources
-from hornbeamramp.shares import ShareBook
+from hornbeamramp.shares import FairShares
 from hornbeamramp.states import UpstreamState
 from hornbeamramp.task_table import TaskTable
 from hornbeamramp.upstream_health import UpstreamHealth
@@ -26,7 +26,7 @@
         Upstreams whose capacity changed; cleared by the dispatcher.
     """
 
-    def __init__(self, tasks: TaskTable, shares: ShareBook) -> None:
+    def __init__(self, tasks: TaskTable, shares: FairShares) -> None:
         self.ledger = Ledger(self.capacity_changed)
         self.index = CapacityIndex(self._free, self._reclaimable, self._drainable)
         self.health = UpstreamHealth()
