--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -63,7 +63,7 @@
             self.forget(state)
             return Ended.JOB_CANCELLED if state.cancelled else Ended.IGNORED
         faulty = self._note_health(attempt, end, now)
-        if state.standing and state.job.idempotent:
+        if state.is_service and state.job.idempotent:
             return self._retry(attempt, end, now)
         if end is TaskEnd.SUCCEEDED:
             if state.over:
@@ -141,7 +141,7 @@
             peak = used if peak is None else tuple(map(max, peak, used))
         if peak is not None and end is not TaskEnd.NOT_STARTED:
             self._estimates.observe_usage(job.route, job.team, Resources(*peak))
-        if end is TaskEnd.SUCCEEDED and not attempt.state.standing and not attempt.slowed:
+        if end is TaskEnd.SUCCEEDED and not attempt.state.is_service and not attempt.slowed:
             shape = self._pool.index.shape_by_id.get(attempt.upstream_id)
             if shape is not None:
                 run = attempt.elapsed(now) * shape.speed
@@ -194,7 +194,7 @@
 
     def _requeue(self, attempt: Attempt, end: TaskEnd, now: float) -> None:
         state = attempt.state
-        budgeted = end in (TaskEnd.FAILED, TaskEnd.LOST) and not state.standing
+        budgeted = end in (TaskEnd.FAILED, TaskEnd.LOST) and not state.is_service
         delay = 0.0
         attempts = self._tasks.attempts(state, attempt.task)
         ordered = attempt.stopping and not budgeted
--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -181,7 +181,7 @@
     def _may_start(self, state: JobState) -> bool:
         if isinstance(state.job, GangJob):
             return self._shares.leaves_headroom_for_gang(state.flow, state.amount, state.pending)
-        if state.standing:
+        if state.is_service:
             return self._shares.leaves_headroom_for_standing(state.flow, state.amount)
         return self._shares.leaves_headroom(state.flow, state.amount)
 
@@ -195,7 +195,7 @@
             return True
         if self._health.quarantined:
             return True
-        return not state.standing and self._holds.gangs > 0
+        return not state.is_service and self._holds.gangs > 0
 
     def _serve(self, state: JobState, first_tier: bool, guaranteed: bool, now: float) -> bool:
         """Starts a task of the job or has the queue skip it until something changes.
--- a/hornbeamramp/lanes.py
+++ b/hornbeamramp/lanes.py
@@ -90,7 +90,7 @@
     """
     if isinstance(state.job, GangJob):
         return (2, state.pending, 0, *_rounded_all(state.amount))
-    if state.standing:
+    if state.is_service:
         return (1, 1, 0, *_rounded_all(state.amount))
     run = (state.run > RUN_BOUNDS[0]) + (state.run > RUN_BOUNDS[1])
     return (0, 1, run, *_rounded_all(state.amount))
--- a/hornbeamramp/task_table.py
+++ b/hornbeamramp/task_table.py
@@ -83,7 +83,7 @@
 
         An attempt that is over its time is expected to take half as long again.
         """
-        if self.state.standing:
+        if self.state.is_service:
             return float("inf")
         elapsed = self.elapsed(now)
         return now + (self.run - elapsed if self.run > elapsed else max(elapsed * 0.5, 0.1))
@@ -135,7 +135,7 @@
         "ran",
         "run",
         "sequence",
-        "standing",
+        "is_service",
         "submitted",
         "tasks_by_rack",
     )
@@ -166,7 +166,7 @@
         self.cancelled = False
         self.failed = False
         self.adopted = False
-        self.standing = isinstance(job, ServiceJob)
+        self.is_service = isinstance(job, ServiceJob)
         batch = not isinstance(job, GangJob | ServiceJob)
         self.limitable = batch and job.band >= Band.NORMAL
         self.preemptible = self.limitable and job.idempotent
--- a/hornbeamramp/upstream_pool.py
+++ b/hornbeamramp/upstream_pool.py
@@ -186,6 +186,6 @@
             return None
         sums = list(self.unheld(upstream_id))
         for attempt in self._tasks.on_upstream(upstream_id):
-            if not attempt.state.standing:
+            if not attempt.state.is_service:
                 sums = [a + b for a, b in zip(sums, attempt.reservation.amount, strict=True)]
         return tuple(max(part, 0) for part in sums)  # type: ignore[return-value]
