--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -58,7 +58,7 @@
         if end is not TaskEnd.NOT_STARTED:
             state.ran = True
         if state.cancelled or state.failed:
-            if not state.over:
+            if not state.is_finished:
                 return Ended.IGNORED
             self.forget(state)
             return Ended.JOB_CANCELLED if state.cancelled else Ended.IGNORED
@@ -66,7 +66,7 @@
         if state.is_service and state.job.idempotent:
             return self._retry(attempt, end, now)
         if end is TaskEnd.SUCCEEDED:
-            if state.over:
+            if state.is_finished:
                 self.forget(state)
                 return Ended.JOB_DONE
             self._gang_may_start(state)
@@ -88,7 +88,7 @@
             return Ended.RETRY
         if missing:
             return self._fail(state, faulty=False)
-        if state.over:
+        if state.is_finished:
             self.forget(state)
             return Ended.JOB_DONE
         return Ended.TASK_DONE
--- a/hornbeamramp/task_table.py
+++ b/hornbeamramp/task_table.py
@@ -172,7 +172,7 @@
         self.preemptible = self.limitable and job.idempotent
 
     @property
-    def over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether no task runs or waits. Of an adopted job more tasks may yet be found."""
         return not (self.live or self.holds or self.delayed or self.pending or self.adopted)
 
