--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -182,7 +182,7 @@
         state = attempt.state
         if isinstance(state.job, GangJob) and state.job.idempotent:
             # The tasks of a gang run at the same time or not at all.
-            for sibling in list((state.live or {}).values()):
+            for sibling in list((state.live_by_task or {}).values()):
                 if sibling.id not in self._tasks.attempt_by_id:
                     continue
                 if not sibling.emitted:
@@ -215,11 +215,11 @@
             self.at_fault.append(state.job.id)
         state.failed = True
         self._dispatcher.drop(state)
-        for attempt in list((state.live or {}).values()):
+        for attempt in list((state.live_by_task or {}).values()):
             if not attempt.emitted:
                 self.free(attempt, attempt.placed_at)
             elif not attempt.stopping:
                 self._dispatcher.order(Stop(attempt.id, attempt.upstream_id), attempt)
-        if not state.live:
+        if not state.live_by_task:
             self.forget(state)
         return Ended.JOB_FAILED
--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -130,7 +130,7 @@
             self._queue.tasks_added(state, len(tasks))
             return
         gang = isinstance(state.job, GangJob) and state.job.idempotent
-        if gang and (state.live or state.delayed or state.holds):
+        if gang and (state.live_by_task or state.delayed or state.holds):
             return
         if state.pending:
             self._queue.push(state)
@@ -153,7 +153,7 @@
         """Returns jobs without an attempt that wait in a hold or for a retry."""
         states = {hold.state for hold in self._holds.all}
         states.update(self._retries.states())
-        return {s for s in states if s.lane is None and not s.live and not s.cancelled}
+        return {s for s in states if s.lane is None and not s.live_by_task and not s.cancelled}
 
     # One step
 
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -155,7 +155,7 @@
             self._know(state)
         if attempt_id in self._tasks.attempt_by_id:
             return
-        if state.live and task in state.live:
+        if state.live_by_task and task in state.live_by_task:
             # Two attempts of one task: the other's end decides, this one only holds capacity.
             self._hold(upstream_id, attempt_id, job.resources, float("inf"))
             return
@@ -218,7 +218,7 @@
         if state is None or not state.adopted:
             return Ended.IGNORED
         state.adopted = False
-        live = state.live or {}
+        live = state.live_by_task or {}
         missing = [t for t in range(state.job.tasks) if t not in live and t not in done]
         return self._ends.settle(state, missing)
 
@@ -230,7 +230,7 @@
         state.cancelled = True
         self._dispatcher.drop(state)
         stops = []
-        for attempt in list((state.live or {}).values()):
+        for attempt in list((state.live_by_task or {}).values()):
             if attempt.emitted:
                 self._dispatcher.note_stopping(attempt)
                 stops.append(Stop(attempt.id, attempt.upstream_id))
--- a/hornbeamramp/task_table.py
+++ b/hornbeamramp/task_table.py
@@ -127,7 +127,7 @@
         "key",
         "lane",
         "limitable",
-        "live",
+        "live_by_task",
         "next_task",
         "numbers",
         "preemptible",
@@ -152,7 +152,7 @@
         self.next_task = 0
         self.again: list[int] | None = None
         self.lane: Lane | None = None
-        self.live: dict[int, Attempt] | None = None
+        self.live_by_task: dict[int, Attempt] | None = None
         self.holds: list[Hold] | None = None
         self.numbers: dict[int, int] | None = None
         self.tasks_by_rack: dict[RackId, int] | None = None
@@ -174,7 +174,7 @@
     @property
     def is_finished(self) -> bool:
         """Whether no task runs or waits. Of an adopted job more tasks may yet be found."""
-        return not (self.live or self.holds or self.delayed or self.pending or self.adopted)
+        return not (self.live_by_task or self.holds or self.delayed or self.pending or self.adopted)
 
     @property
     def pending(self) -> int:
@@ -183,7 +183,11 @@
 
     def is_late(self, now: float) -> bool:
         """Tells whether the deadline has passed and no attempt may have run."""
-        return self.deadline is not None and self.deadline <= now and not (self.ran or self.live)
+        return (
+            self.deadline is not None
+            and self.deadline <= now
+            and not (self.ran or self.live_by_task)
+        )
 
     def take_task(self) -> int:
         """Removes and returns the next task to be placed."""
@@ -228,15 +232,15 @@
 
     def add(self, attempt: Attempt) -> None:
         state = attempt.state
-        if state.live is None:
-            state.live = {}
-        state.live[attempt.task] = attempt
+        if state.live_by_task is None:
+            state.live_by_task = {}
+        state.live_by_task[attempt.task] = attempt
         self.attempt_by_id[attempt.id] = attempt
         self.attempts_by_upstream.setdefault(attempt.upstream_id, {})[attempt.id] = attempt
 
     def remove(self, attempt: Attempt) -> None:
-        if attempt.state.live is not None:
-            attempt.state.live.pop(attempt.task, None)
+        if attempt.state.live_by_task is not None:
+            attempt.state.live_by_task.pop(attempt.task, None)
         self.attempt_by_id.pop(attempt.id, None)
         on_upstream = self.attempts_by_upstream.get(attempt.upstream_id)
         if on_upstream is not None:
