--- a/hornbeamramp/preemption.py
+++ b/hornbeamramp/preemption.py
@@ -218,7 +218,7 @@
     limits: list[tuple[Attempt, Vector]] = []
     loss, freed = 0.0, 0
     ordered = sorted(
-        (a for a in attempts if a.limitable()), key=lambda a: (-a.state.job.band, a.id)
+        (a for a in attempts if a.throttleable()), key=lambda a: (-a.state.job.band, a.id)
     )
     for attempt in ordered:
         held = attempt.reservation.amount
--- a/hornbeamramp/task_table.py
+++ b/hornbeamramp/task_table.py
@@ -95,9 +95,9 @@
         """
         return not (self.stopping or self.guaranteed) and self.state.preemptible
 
-    def limitable(self) -> bool:
+    def throttleable(self) -> bool:
         """Tells whether the attempt may be throttled for urgent work."""
-        return not self.stopping and self.limited_to is None and self.state.limitable
+        return not self.stopping and self.limited_to is None and self.state.throttleable
 
 
 class JobState:
@@ -126,7 +126,7 @@
         "job",
         "key",
         "lane",
-        "limitable",
+        "throttleable",
         "live_by_task",
         "next_task",
         "numbers",
@@ -168,8 +168,8 @@
         self.adopted = False
         self.is_service = isinstance(job, ServiceJob)
         batch = not isinstance(job, GangJob | ServiceJob)
-        self.limitable = batch and job.band >= Band.NORMAL
-        self.preemptible = self.limitable and job.idempotent
+        self.throttleable = batch and job.band >= Band.NORMAL
+        self.preemptible = self.throttleable and job.idempotent
 
     @property
     def is_finished(self) -> bool:
--- a/hornbeamramp/upstream_pool.py
+++ b/hornbeamramp/upstream_pool.py
@@ -177,7 +177,7 @@
             amount = attempt.reservation.amount
             if attempt.preemptible():
                 sums = [a + b for a, b in zip(sums, amount, strict=True)]
-            elif attempt.limitable():
+            elif attempt.throttleable():
                 sums[0] += amount[0]
         return tuple(max(part, 0) for part in sums)  # type: ignore[return-value]
 
