--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -104,7 +104,7 @@
     def order(self, decision: Decision, attempt: Attempt) -> None:
         """Has `decide` return an action on a live attempt."""
         if isinstance(decision, Throttle):
-            attempt.limited_to = decision.resources.as_tuple()
+            attempt.throttled_to = decision.resources.as_tuple()
             attempt.slowed = True
         else:
             self.note_stopping(attempt)
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -282,10 +282,10 @@
     def throttled(self, attempt_id: AttemptId) -> None:
         """Reports that a `Throttle` took effect; the room it frees may then be used."""
         attempt = self._tasks.attempt_by_id.get(attempt_id)
-        if attempt is None or attempt.limited_to is None:
+        if attempt is None or attempt.throttled_to is None:
             return
-        self._upstreams.ledger.shrink(attempt.reservation, Resources(*attempt.limited_to))
-        attempt.limited_to = None
+        self._upstreams.ledger.shrink(attempt.reservation, Resources(*attempt.throttled_to))
+        attempt.throttled_to = None
         self._ends.recount(attempt, self._now())
 
     def ended(self, attempt_id: AttemptId, end: TaskEnd, usage: Resources | None = None) -> Ended:
@@ -309,7 +309,7 @@
         measured = usage.as_tuple()
         peak = attempt.peak
         attempt.peak = measured if peak is None else tuple(map(max, peak, measured))
-        limit = attempt.limited_to
+        limit = attempt.throttled_to
         if limit is not None:
             late = self._now() >= attempt.limited_at + USAGE_LAG
             if late and measured[0] <= limit[0]:
--- a/hornbeamramp/task_table.py
+++ b/hornbeamramp/task_table.py
@@ -24,7 +24,7 @@
         "guaranteed",
         "id",
         "limited_at",
-        "limited_to",
+        "throttled_to",
         "overdue",
         "peak",
         "placed_at",
@@ -68,7 +68,7 @@
         # Whether its end was ordered but is not reported in time.
         self.overdue = False
         # Size to which the attempt was ordered to throttle, and when.
-        self.limited_to: Vector | None = None
+        self.throttled_to: Vector | None = None
         self.limited_at = 0.0
         # Whether it was ever throttled, so that its run time says nothing about others.
         self.slowed = False
@@ -97,7 +97,7 @@
 
     def throttleable(self) -> bool:
         """Tells whether the attempt may be throttled for urgent work."""
-        return not self.stopping and self.limited_to is None and self.state.throttleable
+        return not self.stopping and self.throttled_to is None and self.state.throttleable
 
 
 class JobState:
--- a/hornbeamramp/upstream_pool.py
+++ b/hornbeamramp/upstream_pool.py
@@ -139,8 +139,8 @@
             amount = attempt.reservation.amount
             if attempt.stopping and not attempt.overdue:
                 sums = [a + b for a, b in zip(sums, amount, strict=True)]
-            elif attempt.limited_to is not None:
-                sums[0] += amount[0] - min(attempt.limited_to[0], amount[0])
+            elif attempt.throttled_to is not None:
+                sums[0] += amount[0] - min(attempt.throttled_to[0], amount[0])
         return tuple(sums)  # type: ignore[return-value]
 
     def statuses(self) -> list[UpstreamStatus]:
