--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -141,7 +141,7 @@
             peak = used if peak is None else tuple(map(max, peak, used))
         if peak is not None and end is not TaskEnd.NOT_STARTED:
             self._estimates.observe_usage(job.route, job.team, Resources(*peak))
-        if end is TaskEnd.SUCCEEDED and not attempt.state.is_service and not attempt.slowed:
+        if end is TaskEnd.SUCCEEDED and not attempt.state.is_service and not attempt.was_throttled:
             shape = self._pool.index.shape_by_id.get(attempt.upstream_id)
             if shape is not None:
                 run = attempt.elapsed(now) * shape.speed
--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -105,7 +105,7 @@
         """Has `decide` return an action on a live attempt."""
         if isinstance(decision, Throttle):
             attempt.throttled_to = decision.resources.as_tuple()
-            attempt.slowed = True
+            attempt.was_throttled = True
         else:
             self.note_stopping(attempt)
         self._outbox.append((decision, attempt))
--- a/hornbeamramp/task_table.py
+++ b/hornbeamramp/task_table.py
@@ -31,7 +31,7 @@
         "probe",
         "reservation",
         "run",
-        "slowed",
+        "was_throttled",
         "started_at",
         "state",
         "stopping",
@@ -71,7 +71,7 @@
         self.throttled_to: Vector | None = None
         self.limited_at = 0.0
         # Whether it was ever throttled, so that its run time says nothing about others.
-        self.slowed = False
+        self.was_throttled = False
         self.probe = False
 
     def elapsed(self, now: float) -> float:
