--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -99,11 +99,11 @@
         if attempt.id not in self._tasks.attempt_by_id:
             return
         self._tasks.remove(attempt)
-        self._shares.give_back(state.flow, attempt.counted, now)
+        self._shares.give_back(state.flow, attempt.counted_amount, now)
         if isinstance(state.job, GangJob):
             state.flow.gang_tasks -= 1
         if attempt.stopping:
-            self._shares.note_stopping(state.flow, -self._shares.share_of(attempt.counted))
+            self._shares.note_stopping(state.flow, -self._shares.share_of(attempt.counted_amount))
         self._pool.ledger.release(attempt.reservation)
         self._queue.account_changed(state.flow.account, now)
         if state.tasks_by_rack is not None:
@@ -120,10 +120,10 @@
     def recount(self, attempt: Attempt, now: float) -> None:
         """Brings the shares in line with what the attempt holds after that changed."""
         amount: Vector = attempt.reservation.amount
-        if amount != attempt.counted:
-            self._shares.give_back(attempt.state.flow, attempt.counted, now)
+        if amount != attempt.counted_amount:
+            self._shares.give_back(attempt.state.flow, attempt.counted_amount, now)
             self._shares.take(attempt.state.flow, amount, now)
-            attempt.counted = amount
+            attempt.counted_amount = amount
             self._queue.account_changed(attempt.state.flow.account, now)
 
     def forget(self, state: JobState) -> None:
--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -114,7 +114,7 @@
         """Notes that the end of an attempt was ordered."""
         if not attempt.stopping:
             attempt.stopping = True
-            share = self._shares.share_of(attempt.counted)
+            share = self._shares.share_of(attempt.counted_amount)
             self._shares.note_stopping(attempt.state.flow, share)
 
     def retry(self, state: JobState, task: int, due: float, budgeted: bool, now: float) -> None:
--- a/hornbeamramp/task_table.py
+++ b/hornbeamramp/task_table.py
@@ -19,7 +19,7 @@
     """A live attempt. Times are seconds of boot time, ``run`` is on its upstream."""
 
     __slots__ = (
-        "counted",
+        "counted_amount",
         "emitted",
         "guaranteed",
         "id",
@@ -58,7 +58,7 @@
         self.started_at: float | None = None
         self.peak: Vector | None = None
         # What the shares count for the attempt.
-        self.counted = reservation.amount
+        self.counted_amount = reservation.amount
         # Whether `decide` has returned the start.
         self.emitted = False
         # Whether the end of the attempt was ordered.
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -208,7 +208,7 @@
         for attempt in scheduler._tasks.attempt_by_id.values():
             key = attempt.state.job.team
             sums = used.setdefault(key, [0] * 5)
-            used[key] = [a + b for a, b in zip(sums, attempt.counted, strict=True)]
+            used[key] = [a + b for a, b in zip(sums, attempt.counted_amount, strict=True)]
         for team, use in shares.use_by_team.items():
             assert use.used == used.get(team, [0] * 5)
         usable = [u for u in self.shape_by_id if scheduler._upstreams.usable(u)]
