--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -136,7 +136,7 @@
     def adopt(self, job: Job, attempt_id: AttemptId, upstream_id: UpstreamId) -> None:
         """Takes over a running attempt of an earlier owner, even beyond the upstream's shape.
 
-        The job does not end before `settle` is called for it. Raises ``ValueError`` if
+        The job does not end before `finish_adoption` is called for it. Raises ``ValueError`` if
         ``attempt_id`` is not an attempt of the job.
         """
         job_id, task, epoch, number = split_attempt_id(attempt_id)
@@ -207,7 +207,7 @@
         admitted = self._admission.admit(job, state.flow, self._expect(job), parked)
         return admitted.err_value if isinstance(admitted, Err) else None
 
-    def settle(self, job_id: JobId, done: Collection[int]) -> Ended:
+    def finish_adoption(self, job_id: JobId, done: Collection[int]) -> Ended:
         """Decides about the tasks of an adopted job that no upstream runs any more.
 
         To be called once the upstreams have been listed. ``done`` are the tasks whose answers are
@@ -220,7 +220,7 @@
         state.adopted = False
         live = state.live_by_task or {}
         missing = [t for t in range(state.job.tasks) if t not in live and t not in done]
-        return self._ends.settle(state, missing)
+        return self._ends.finish_adoption(state, missing)
 
     def cancel(self, job_id: JobId) -> Cancellation:
         """Removes a queued job, or returns the attempts of a running job that must be stopped."""
