--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -188,7 +188,7 @@
                 if not sibling.emitted:
                     self.recall(sibling, now)
                 elif not sibling.stopping:
-                    self._dispatcher.order(Stop(sibling.id, sibling.upstream_id), sibling)
+                    self._dispatcher.enqueue_action(Stop(sibling.id, sibling.upstream_id), sibling)
         self._requeue(attempt, end, now)
         return Ended.RETRY
 
@@ -219,7 +219,7 @@
             if not attempt.emitted:
                 self.free(attempt, attempt.placed_at)
             elif not attempt.stopping:
-                self._dispatcher.order(Stop(attempt.id, attempt.upstream_id), attempt)
+                self._dispatcher.enqueue_action(Stop(attempt.id, attempt.upstream_id), attempt)
         if not state.live_by_task:
             self.forget(state)
         return Ended.JOB_FAILED
--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -101,7 +101,7 @@
             resume = not self._serve(*best, now)
         return actions
 
-    def order(self, decision: Decision, attempt: Attempt) -> None:
+    def enqueue_action(self, decision: Decision, attempt: Attempt) -> None:
         """Has `decide` return an action on a live attempt."""
         if isinstance(decision, Throttle):
             attempt.throttled_to = decision.resources.as_tuple()
@@ -377,7 +377,7 @@
             by_id = {a.id: a for a in plan.stopped} | {a.id: a for a, _ in plan.throttled}
             for decision in plan.decisions(now):
                 attempt = by_id[decision.attempt_id]
-                self.order(decision, attempt)
+                self.enqueue_action(decision, attempt)
                 attempt.limited_at = now
         self._add_hold(Hold(state, tasks, upstream_ids, now, now + PREEMPTION_TIME, gang=False))
         return True
