--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -122,7 +122,7 @@
         amount: Vector = attempt.reservation.amount
         if amount != attempt.counted_amount:
             self._shares.give_back(attempt.state.flow, attempt.counted_amount, now)
-            self._shares.take(attempt.state.flow, amount, now)
+            self._shares.add_use(attempt.state.flow, amount, now)
             attempt.counted_amount = amount
             self._queue.account_changed(attempt.state.flow.account, now)
 
--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -265,7 +265,7 @@
         state = attempt.state
         job, flow, amount = state.job, state.flow, state.amount
         self._tasks.add(attempt)
-        self._shares.take(flow, amount, now)
+        self._shares.add_use(flow, amount, now)
         self._queue.charge(job.band, self._shares.share_of(amount) * state.run)
         if self._tasks.attempts(state, attempt.task) == 1:
             self._retries.budget.earn()
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -170,7 +170,7 @@
         attempt = Attempt(attempt_id, state, task, reservation, run, now)
         attempt.emitted = True
         self._tasks.add(attempt)
-        self._shares.take(state.flow, attempt.counted_amount, now)
+        self._shares.add_use(state.flow, attempt.counted_amount, now)
         if isinstance(job, GangJob):
             state.flow.gang_tasks += 1
         if isinstance(job, ServiceJob) and shape is not None:
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -105,7 +105,7 @@
         self.flow_by_key[(band, team, route)] = flow
         return flow
 
-    def take(self, flow: Flow, amount: Vector, now: float) -> None:
+    def add_use(self, flow: Flow, amount: Vector, now: float) -> None:
         """Counts a task as in use."""
         flow.host.unit = max(flow.host.unit, self._host_share(amount))
         if amount[2]:
