--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -99,7 +99,7 @@
         if attempt.id not in self._tasks.attempt_by_id:
             return
         self._tasks.remove(attempt)
-        self._shares.give_back(state.flow, attempt.counted_amount, now)
+        self._shares.remove_use(state.flow, attempt.counted_amount, now)
         if isinstance(state.job, GangJob):
             state.flow.gang_tasks -= 1
         if attempt.stopping:
@@ -121,7 +121,7 @@
         """Brings the shares in line with what the attempt holds after that changed."""
         amount: Vector = attempt.reservation.amount
         if amount != attempt.counted_amount:
-            self._shares.give_back(attempt.state.flow, attempt.counted_amount, now)
+            self._shares.remove_use(attempt.state.flow, attempt.counted_amount, now)
             self._shares.add_use(attempt.state.flow, amount, now)
             attempt.counted_amount = amount
             self._queue.account_changed(attempt.state.flow.account, now)
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -113,7 +113,7 @@
             flow.accelerators.unit = max(flow.accelerators.unit, unit)
         self._change(flow, amount, 1, now)
 
-    def give_back(self, flow: Flow, amount: Vector, now: float) -> None:
+    def remove_use(self, flow: Flow, amount: Vector, now: float) -> None:
         """Counts a task as no longer in use."""
         self._change(flow, amount, -1, now)
 
