--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -167,7 +167,7 @@
             blamed = job_id if end is TaskEnd.FAILED else None
             changed = health.failed(upstream_id, blamed, now)
             if changed:
-                self._dispatcher.give_up_holds(upstream_id, now)
+                self._dispatcher.release_holds(upstream_id, now)
         elif attempt.probe:
             health.probe_ended(upstream_id, now)
         if changed:
--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -144,7 +144,7 @@
             self._remove_hold(hold)
         self._reserve_after.pop(state, None)
 
-    def give_up_holds(self, upstream_id: UpstreamId, now: float) -> None:
+    def release_holds(self, upstream_id: UpstreamId, now: float) -> None:
         """Gives up the holds on an upstream that may receive no more work."""
         for hold in self._holds.on_upstream(upstream_id):
             self._give_up(hold, now, cooldown=False)
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -380,7 +380,7 @@
         for attempt in self._tasks.on_upstream(upstream_id):
             if not attempt.emitted and attempt.id in self._tasks.attempt_by_id:
                 self._ends.recall(attempt, now)
-        self._dispatcher.give_up_holds(upstream_id, now)
+        self._dispatcher.release_holds(upstream_id, now)
 
     def _hold(
         self, upstream_id: UpstreamId, attempt_id: AttemptId, resources: Resources, until: float
