--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -129,7 +129,7 @@
     def forget(self, state: JobState) -> None:
         """Forgets a job that has ended."""
         if self._tasks.job_by_id.pop(state.job.id, None) is not None:
-            state.flow.states -= 1
+            state.flow.unfinished_jobs -= 1
         self._deadlines.discard(state)
         self._pool.health.forget_job(state.job.id)
 
--- a/hornbeamramp/flows.py
+++ b/hornbeamramp/flows.py
@@ -168,7 +168,7 @@
         "lanes",
         "number",
         "route",
-        "states",
+        "unfinished_jobs",
         "stopping",
         "share",
         "updated",
@@ -195,7 +195,7 @@
         # Share of tasks that were ordered to end.
         self.stopping = 0.0
         # Jobs of the flow that have not ended.
-        self.states = 0
+        self.unfinished_jobs = 0
 
     @property
     def queued(self) -> float:
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -366,7 +366,7 @@
 
     def _know(self, state: JobState) -> None:
         self._tasks.job_by_id[state.job.id] = state
-        state.flow.states += 1
+        state.flow.unfinished_jobs += 1
 
     def _update_shapes(self) -> None:
         changed = self._upstreams.take_changed_shapes()
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -235,7 +235,7 @@
         """Forgets flows without use, queue or noticeable demand. Removes rounding errors."""
         for key, flow in list(self.flow_by_key.items()):
             self.observe(flow, now)
-            if not flow.states and not any(flow.used) and flow.claim() < LEAST_SHARE:
+            if not flow.unfinished_jobs and not any(flow.used) and flow.claim() < LEAST_SHARE:
                 del self.flow_by_key[key]
         kept = {flow.account for flow in self.flow_by_key.values()}
         for account_key, account in list(self.account_by_key.items()):
