--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -1,4 +1,4 @@
-"""Turns queued jobs into starts: placement, gangs' reservations, backfill, preemption, probes."""
+"""Starts queued jobs: placement, gang reservations, backfill, preemption and probes."""
 
 from collections import deque
 from datetime import timedelta
@@ -26,16 +26,16 @@
 
 __all__ = ["Dispatcher"]
 
-# Held upstreams tried for one task of backfill.
-BACKFILL_CANDIDATES = 16
-# Seconds after which room that is being preempted is given up.
-PREEMPTION_TIME = 10.0
-# Bounds in seconds of a gang's reservation; it lasts twice as long as its start is expected away.
-SHORTEST_RESERVATION = 30.0
-LONGEST_RESERVATION = 600.0
-# Lanes put in order again for each second that passed, and at most with each call.
-REFRESHED_LANES = 500.0
-MOST_REFRESHED_LANES = 64
+# Held upstreams that are tried to backfill one task.
+MAX_BACKFILL_CANDIDATES = 16
+# A hold for a preemption is released if its capacity is not free within this time.
+PREEMPTION_TIMEOUT_S = 10.0
+# Bounds of a gang's reservation, which lasts twice the time until its expected start.
+MIN_RESERVATION_S = 30.0
+MAX_RESERVATION_S = 600.0
+# Rate at which lanes are reordered, and the maximum for one call of `decide`.
+LANES_REFRESHED_PER_S = 500.0
+MAX_LANES_REFRESHED = 64
 
 
 class Dispatcher:
@@ -63,20 +63,20 @@
         self._refreshed_at = 0.0
         self._reserve_after: dict[JobState, float] = {}
         self._failed_searches = FailedSearches()
-        # Jobs found to be past their deadline when their turn came.
-        self.late: list[JobState] = []
+        # Jobs whose deadline had passed when they were next to be placed.
+        self.past_deadline: list[JobState] = []
 
     def decide(self, limit: int, now: float) -> list[Decision]:
         """Returns at most ``limit`` actions."""
         for state, task in self._retries.take_due(now):
             self.requeue(state, [task])
         for hold in self._holds.expired(now):
-            self._give_up(hold, now)
+            self._release_hold(hold, now)
         if self._policy.fair:
-            due = int((now - self._refreshed_at) * REFRESHED_LANES)
+            due = int((now - self._refreshed_at) * LANES_REFRESHED_PER_S)
             if due:
                 self._refreshed_at = now
-                self._queue.refresh(now, min(due, MOST_REFRESHED_LANES))
+                self._queue.refresh(now, min(due, MAX_LANES_REFRESHED))
         actions: list[Decision] = []
         resume = False
         while len(actions) < limit:
@@ -102,7 +102,7 @@
         return actions
 
     def enqueue_action(self, decision: Decision, attempt: Attempt) -> None:
-        """Has `decide` return an action on a live attempt."""
+        """Queues an action on a live attempt for `decide` to return."""
         if isinstance(decision, Throttle):
             attempt.throttled_to = decision.resources.as_tuple()
             attempt.was_throttled = True
@@ -111,7 +111,7 @@
         self._outbox.append((decision, attempt))
 
     def note_stopping(self, attempt: Attempt) -> None:
-        """Notes that the end of an attempt was ordered."""
+        """Records that the attempt was told to stop."""
         if not attempt.stopping:
             attempt.stopping = True
             share = self._shares.share_of(attempt.counted_amount)
@@ -136,7 +136,7 @@
             self._queue.push(state)
 
     def drop(self, state: JobState) -> None:
-        """Takes a job out of the queue and gives up its holds and retries."""
+        """Removes a job from the queue with its holds and retries."""
         self._queue.cancel(state)
         state.drop_pending()
         state.delayed = 0
@@ -145,17 +145,17 @@
         self._reserve_after.pop(state, None)
 
     def release_holds(self, upstream_id: UpstreamId, now: float) -> None:
-        """Gives up the holds on an upstream that may receive no more work."""
+        """Releases the holds on an upstream that may receive no more work."""
         for hold in self._holds.on_upstream(upstream_id):
-            self._give_up(hold, now, cooldown=False)
+            self._release_hold(hold, now, cooldown=False)
 
-    def waiting_elsewhere(self) -> set[JobState]:
+    def unqueued_waiting_jobs(self) -> set[JobState]:
         """Returns jobs without an attempt that wait in a hold or for a retry."""
         states = {hold.state for hold in self._holds.all}
         states.update(self._retries.states())
         return {s for s in states if s.lane is None and not s.live_by_task and not s.cancelled}
 
-    # One step
+    # Serving the queue
 
     def _is_current(self, decision: Decision, attempt: Attempt) -> bool:
         if attempt.id not in self._tasks.attempt_by_id:
@@ -165,28 +165,28 @@
 
     def _unpark(self) -> None:
         view = self._index.by_speed
-        most = [-1, -1, -1, -1, -1]
+        highest = [-1, -1, -1, -1, -1]
         for upstream_id in self._pool.touched:
             for i, have in enumerate(view.available(upstream_id)):
-                if have > most[i]:
-                    most[i] = have
+                if have > highest[i]:
+                    highest[i] = have
         if self._holds.gangs:
             # Backfill may use what is free on held upstreams.
             for upstream_id in self._pool.touched:
                 for i, have in enumerate(self._ledger.free(upstream_id)):
-                    most[i] = max(most[i], have)
+                    highest[i] = max(highest[i], have)
         self._pool.touched.clear()
-        self._queue.unpark(tuple(most))  # type: ignore[arg-type]
+        self._queue.unpark(tuple(highest))  # type: ignore[arg-type]
 
     def _may_start(self, state: JobState) -> bool:
         if isinstance(state.job, GangJob):
             return self._shares.leaves_headroom_for_gang(state.flow, state.amount, state.pending)
         if state.is_service:
-            return self._shares.leaves_headroom_for_standing(state.flow, state.amount)
+            return self._shares.leaves_headroom_for_service(state.flow, state.amount)
         return self._shares.leaves_headroom(state.flow, state.amount)
 
     def _may_fit(self, state: JobState, first_tier: bool) -> bool:
-        """Tells whether a placement may succeed, without a search."""
+        """Tells, without a search, whether a placement may succeed."""
         if self._index.by_speed.may_fit(state.amount):
             return True
         if not self._policy.fair:
@@ -198,13 +198,13 @@
         return not state.is_service and self._holds.gangs > 0
 
     def _serve(self, state: JobState, first_tier: bool, guaranteed: bool, now: float) -> bool:
-        """Starts a task of the job or has the queue skip it until something changes.
+        """Starts tasks of the job, or makes the queue skip it until capacity or quota is free.
 
-        Returns false if nothing changed but that the queue skips the job.
+        Returns false if the only change is that the queue skips the job.
         """
-        if state.is_late(now):
+        if state.is_expired(now):
             self._queue.cancel(state)
-            self.late.append(state)
+            self.past_deadline.append(state)
             return True
         job = state.job
         gang = isinstance(job, GangJob)
@@ -242,7 +242,7 @@
     def _start_all(
         self, state: JobState, tasks: list[int], chosen: list[UpstreamId], now: float
     ) -> list[Attempt]:
-        """Reserves room for all tasks or for none; then queues the job again."""
+        """Reserves capacity for all tasks; if that fails, for none, and queues the job again."""
         attempts: list[Attempt] = []
         for task, upstream_id in zip(tasks, chosen, strict=True):
             attempt_id = self._tasks.next_attempt_id(state, task)
@@ -317,7 +317,7 @@
                 continue
             for upstream_id in hold.count_by_id:
                 tried += 1
-                if tried > BACKFILL_CANDIDATES:
+                if tried > MAX_BACKFILL_CANDIDATES:
                     return None
                 speed = self._index.shape_by_id[upstream_id].speed
                 if now + state.run / speed > hold.start_at:
@@ -335,14 +335,14 @@
             return
         self._start_all(state, tasks, chosen, now)
 
-    def _give_up(self, hold: Hold, now: float, cooldown: bool = True) -> None:
+    def _release_hold(self, hold: Hold, now: float, cooldown: bool = True) -> None:
         self._remove_hold(hold)
         for upstream_id in hold.count_by_id:
             for attempt in self._tasks.on_upstream(upstream_id):
                 attempt.overdue = attempt.stopping
         if hold.gang and cooldown:
-            # Others get their turn before the gang may hold capacity again.
-            self._reserve_after[hold.state] = now + SHORTEST_RESERVATION
+            # Lets other jobs use the capacity before the gang may reserve it again.
+            self._reserve_after[hold.state] = now + MIN_RESERVATION_S
         self.requeue(hold.state, hold.tasks)
 
     def _remove_hold(self, hold: Hold) -> None:
@@ -362,27 +362,29 @@
         self._queue.tasks_taken(state, count)
         return tasks
 
-    # Room for urgent work
+    # Preemption
 
     def _preempt(self, state: JobState, count: int, now: float) -> bool:
         if self._failed_searches.is_paused(state, now):
             return False
         plans = plan_tasks(self._pool, self._tasks, self._shares, state, count, now)
         if len(plans) < count:
-            self._failed_searches.note(state, now)
+            self._failed_searches.record_failure(state, now)
             return False
         upstream_ids = [plan.upstream_id for plan in plans]
         tasks = self._take_tasks(state, count)
         for plan in plans:
-            by_id = {a.id: a for a in plan.stopped} | {a.id: a for a, _ in plan.throttled}
+            attempt_by_id = {a.id: a for a in plan.stopped} | {a.id: a for a, _ in plan.throttled}
             for decision in plan.decisions(now):
-                attempt = by_id[decision.attempt_id]
+                attempt = attempt_by_id[decision.attempt_id]
                 self.enqueue_action(decision, attempt)
-                attempt.limited_at = now
-        self._add_hold(Hold(state, tasks, upstream_ids, now, now + PREEMPTION_TIME, gang=False))
+                attempt.throttled_at = now
+        self._add_hold(
+            Hold(state, tasks, upstream_ids, now, now + PREEMPTION_TIMEOUT_S, gang=False)
+        )
         return True
 
-    # Reservations of gangs
+    # Gang reservations
 
     def _reserve(self, state: JobState, count: int, now: float) -> bool:
         if self._reserve_after.get(state, 0.0) > now:
@@ -396,7 +398,7 @@
             return False
         slots = slots[:count]
         start_at = slots[-1][0]
-        duration = min(max(2 * (start_at - now), SHORTEST_RESERVATION), LONGEST_RESERVATION)
+        duration = min(max(2 * (start_at - now), MIN_RESERVATION_S), MAX_RESERVATION_S)
         tasks = self._take_tasks(state, count)
         upstream_ids = [upstream_id for _, _, upstream_id in slots]
         self._add_hold(Hold(state, tasks, upstream_ids, start_at, now + duration, gang=True))
--- a/hornbeamramp/flows.py
+++ b/hornbeamramp/flows.py
@@ -1,8 +1,8 @@
-"""Flows, accounts, teams and kinds of work: whose use of the pool is counted.
+"""Accounting entities of pool use: flows, accounts, teams and routes.
 
 A flow is the work of one route of one team in one band. Its demand is learned from what it has in
-use while it is not backlogged, so a flood does not raise the demand of the flow that floods. An
-account is one team in one band, a kind of work one route in one band.
+use while it is not backlogged, so a flood does not raise the learned demand of its own flow. An
+account is one team in one band. A `RouteUse` covers one route in one band over all teams.
 """
 
 from math import exp, log2, sqrt
@@ -13,26 +13,26 @@
 from hornbeamramp.resources import Resources
 from hornbeamramp.states import Band
 
-__all__ = ["BURST_SHARE", "LEAST_SHARE", "TOLERANCE", "Account", "Flow", "KindUse", "TeamUse"]
+__all__ = ["BURST_SHARE", "MIN_SHARE", "TOLERANCE", "Account", "Flow", "RouteUse", "TeamUse"]
 
-# Seconds over which past use counts against a team.
-RECENT_TIME = 30.0
-# A kind of work of these bands is served like learned demand while all of it, running and queued,
-# takes less than this share of the pool; beyond it, the kind is a flood. Counted over all teams,
-# because a flood spread over many teams leaves each of them below any limit of its own.
+# Time constant with which the past use of an account decays in its score.
+RECENT_USE_DECAY_S = 30.0
+# A route's work in these bands is served like learned demand while its running and queued tasks
+# take at most this share of the pool; beyond it, the work is a flood. Summed over all teams,
+# because in a flood spread over many teams each of them stays below any limit of its own.
 BURST_SHARE = {Band.URGENT: 0.5, Band.SERVICE: 0.25}
-# A flow whose queue needs more than it has in use, and more than this, is backlogged.
-LEAST_BACKLOG = 0.01
-# Steps of the logarithmic scale on which accounts are compared, for each doubling.
-LEVELS = 8
-# Learned demand and past use below this share of the pool are forgotten.
-LEAST_SHARE = 1e-5
-# Rounding error of sums of shares.
+# A flow whose queue needs more than it has in use, and more than this share, is backlogged.
+MIN_BACKLOG = 0.01
+# Steps of the logarithmic scale on which accounts are compared, per doubling of the score.
+LEVELS_PER_DOUBLING = 8
+# Learned demand and past use below this share of the pool count as none.
+MIN_SHARE = 1e-5
+# Allowance for rounding errors of sums of shares.
 TOLERANCE = 1e-9
 
 
 class TeamUse:
-    """What a team has in use and queued over all bands, against its limit."""
+    """Resources in use and queued jobs of a team over all bands, with its limit."""
 
     __slots__ = ("accounts", "jobs", "limit", "used", "weight")
 
@@ -47,23 +47,27 @@
         """Tells whether ``count`` more tasks of this size stay within the limit."""
         if self.limit is None:
             return True
-        used, most = self.used, self.limit
+        used, allowed = self.used, self.limit
         return (
-            used[0] + amount[0] * count <= most[0]
-            and used[1] + amount[1] * count <= most[1]
-            and used[2] + amount[2] * count <= most[2]
-            and used[3] + amount[3] * count <= most[3]
-            and used[4] + amount[4] * count <= most[4]
+            used[0] + amount[0] * count <= allowed[0]
+            and used[1] + amount[1] * count <= allowed[1]
+            and used[2] + amount[2] * count <= allowed[2]
+            and used[3] + amount[3] * count <= allowed[3]
+            and used[4] + amount[4] * count <= allowed[4]
         )
 
 
 class Account:
-    """A team in a band. ``share`` is its dominant share of the pool, ``recent`` its past one."""
+    """A team in a band.
+
+    `share`, `recent`
+        Dominant share of the pool in use now, and its exponentially decaying average.
+    """
 
     __slots__ = (
         "band",
         "lanes",
-        "offered",
+        "highest_entry_level",
         "recent",
         "share",
         "team",
@@ -86,12 +90,12 @@
         self.updated = now
         # Lanes of queued jobs, in the order in which they were added.
         self.lanes: dict = {}
-        # Highest level with which its lanes may be in order.
-        self.offered = 0
+        # Highest level in the heap entries of its lanes.
+        self.highest_entry_level = 0
 
     def observe(self, now: float) -> None:
         if now > self.updated:
-            kept = exp((self.updated - now) / RECENT_TIME)
+            kept = exp((self.updated - now) / RECENT_USE_DECAY_S)
             self.recent = self.share + (self.recent - self.share) * kept
             self.updated = now
 
@@ -103,21 +107,21 @@
     def level(self, now: float) -> int:
         """Returns the score on a logarithmic scale.
 
-        Accounts within a step are served by expected time. Small changes of use, which each start
-        and end brings, then leave the order of queued work as it is.
+        Accounts of the same level are served by expected run time. The steps keep the small
+        changes of use with each start and end from reordering the queue.
         """
-        return int(LEVELS * log2(self.score(now) + LEAST_SHARE))
+        return int(LEVELS_PER_DOUBLING * log2(self.score(now) + MIN_SHARE))
 
 
-class KindUse:
-    """What all teams together have in use and queued of one route in one band, as shares.
+class RouteUse:
+    """Use and queued work of one route in one band over all teams, as shares of the pool.
 
     `mean`, `variance`
-        Learned demand for the larger of processors, memory, slots and connections.
+        Learned demand for the largest of processors, memory, slots and connections.
     `stopping`
-        Share of tasks that were ordered to end.
+        Share of tasks that were told to stop.
     `excess`
-        What is in use beyond the claim apart from them, for bands that may be preempted.
+        Share in use beyond the claim without stopping tasks, for bands that may be preempted.
     """
 
     __slots__ = ("excess", "mean", "queued", "share", "stopping", "variance")
@@ -142,15 +146,15 @@
         """Returns the share of the pool that covers the learned demand of all teams together."""
         return self.mean + DEVIATIONS * sqrt(max(self.variance, 0.0))
 
-    def beyond_claim(self) -> bool:
+    def exceeds_claim(self) -> bool:
         return self.share - self.stopping > self.claim() + TOLERANCE
 
 
 class Flow:
-    """A route of an account.
+    """Work of one route of an account.
 
     `host`, `accelerators`
-        Demand for the larger of processors, memory, slots and connections, and for accelerators.
+        Demand for the largest of processors, memory, slots and connections, and for accelerators.
         They are kept apart so that claims on accelerators leave processors to other work.
     `queued`, `jobs`
         Dominant share of all queued tasks together, and number of queued jobs.
@@ -164,7 +168,7 @@
         "gang_tasks",
         "host",
         "jobs",
-        "kind",
+        "route_use",
         "lanes",
         "number",
         "route",
@@ -176,10 +180,10 @@
     )
 
     def __init__(
-        self, account: Account, route: RouteName, kind: KindUse, number: int, now: float
+        self, account: Account, route: RouteName, route_use: RouteUse, number: int, now: float
     ) -> None:
         self.account = account
-        self.kind = kind
+        self.route_use = route_use
         self.route = route
         self.number = number
         self.used = [0, 0, 0, 0, 0]
@@ -192,7 +196,7 @@
         self.active_at = now
         self.lanes: dict = {}
         self.gang_tasks = 0
-        # Share of tasks that were ordered to end.
+        # Share of tasks that were told to stop.
         self.stopping = 0.0
         # Jobs of the flow that have not ended.
         self.unfinished_jobs = 0
@@ -203,7 +207,7 @@
 
     @queued.setter
     def queued(self, queued: float) -> None:
-        self.kind.queued += queued - self._queued
+        self.route_use.queued += queued - self._queued
         self._queued = queued
 
     def claim(self) -> float:
@@ -215,21 +219,24 @@
         return self.share < self.claim() or self.bursting()
 
     def backlogged(self) -> bool:
-        return self.queued > self.share and self.queued > LEAST_BACKLOG
+        return self.queued > self.share and self.queued > MIN_BACKLOG
 
-    def beyond_claim(self) -> bool:
-        """Tells whether a task may be taken from the flow without touching learned demand.
+    def exceeds_claim(self) -> bool:
+        """Tells whether a task of the flow may be preempted without affecting learned demand.
 
-        A job of many tasks exceeds the claim of its team at once but not that of all teams.
+        A job of many tasks exceeds the claim of its team at once but not that of all teams, so both
+        claims must be exceeded.
         """
         beyond = self.share - self.stopping > self.host.claim() + TOLERANCE
-        return beyond and self.kind.beyond_claim()
+        return beyond and self.route_use.exceeds_claim()
 
     def flooding(self) -> bool:
-        """Tells whether the flow wants more than is served like learned demand."""
+        """Tells whether the flow is backlogged with more than a burst."""
         return self.backlogged() and not self.bursting()
 
     def bursting(self) -> bool:
-        """Tells whether the flow is of an urgent kind of work that is no flood."""
-        most = BURST_SHARE.get(self.account.band)
-        return most is not None and self.kind.share + self.kind.queued <= most
+        """Tells whether the route's work in the band is within `BURST_SHARE`, if it has one."""
+        burst_share = BURST_SHARE.get(self.account.band)
+        return (
+            burst_share is not None and self.route_use.share + self.route_use.queued <= burst_share
+        )
--- a/hornbeamramp/job_queue.py
+++ b/hornbeamramp/job_queue.py
@@ -1,9 +1,9 @@
-"""Queue of jobs: bands, weighted dominant shares, then expected time with an age bound.
+"""Job queue, ordered by band, weighted dominant share and run time with an age bound.
 
 Jobs of one flow and one size class wait in a lane. Lanes of one band and size class form a group,
-ordered by tier, share and the lane's first job. A size class for which there is no room is parked:
-its groups are skipped until capacity of that size is free, so a job that does not fit costs nothing
-while it waits. Cancelled jobs stay in their lane's heap until it is compacted.
+ordered by tier, share and the lane's first job. A size class for which no capacity is free is
+parked: its groups are skipped until enough capacity is free, so a job that does not fit costs no
+search while it waits. Cancelled jobs stay in their lane's heap until it is compacted.
 """
 
 import heapq
@@ -20,17 +20,17 @@
 from hornbeamramp.states import Band
 from hornbeamramp.task_table import JobState
 
-__all__ = ["AGE_BOUND", "JobQueue"]
+__all__ = ["AGE_BOUND_S", "JobQueue"]
 
-# A job is overtaken only by jobs that arrive within this many seconds after it.
-AGE_BOUND = 60.0
-# A job is overtaken by jobs that arrive later by up to this many times their difference in run
-# time.
-RUN_FACTOR = 5.0
-# A flow with more sizes than this gets one lane for all others, to bound the work per decision.
-MOST_LANES = 32
-# Cancelled entries a lane keeps before it is compacted, beside as many as it has live ones.
-SLACK_ENTRIES = 32
+# A job can be overtaken only by jobs that arrive within this time after it.
+AGE_BOUND_S = 60.0
+# A shorter job overtakes one that arrived earlier by up to this many times their difference in
+# expected run time.
+OVERTAKE_RUN_FACTOR = 5.0
+# All further size classes of a flow share one lane, to bound the work per decision.
+MAX_LANES_PER_FLOW = 32
+# A lane is compacted when it has more cancelled entries than live ones plus this number.
+MAX_STALE_ENTRIES = 32
 
 
 class JobQueue:
@@ -50,9 +50,9 @@
         self._group_by_key: dict[tuple[Band, tuple], Group] = {}
         self._ready: dict[Band, dict[tuple, Group]] = {band: {} for band in Band}
         self._parked: dict[tuple, SizeClass] = {}
-        self._ring: deque[Lane] = deque()
-        # Entries of the last search that are still to be looked at, as a heap.
-        self._tops: list[tuple] = []
+        self._refresh_ring: deque[Lane] = deque()
+        # Entries that the last search has not examined yet, as a heap.
+        self._search_heap: list[tuple] = []
         self._credit = BandCredit()
         self.jobs_by_band = dict.fromkeys(Band, 0)
         # Sum of the weights of teams with queued jobs.
@@ -69,51 +69,51 @@
         lane = self._lane_of(state)
         state.lane = lane
         if not self._fair:
-            state.key = 0.0
+            state.order_key = 0.0
         else:
-            state.key = state.submitted + min(RUN_FACTOR * state.run, AGE_BOUND)
+            state.order_key = state.submitted + min(OVERTAKE_RUN_FACTOR * state.run, AGE_BOUND_S)
             if state.deadline is not None:
-                state.key = min(state.key, state.deadline - state.run)
-        heapq.heappush(lane.heap, (state.key, state.sequence, state))
-        lane.live += 1
+                state.order_key = min(state.order_key, state.deadline - state.run)
+        heapq.heappush(lane.heap, (state.order_key, state.sequence, state))
+        lane.live_entries += 1
         flow.jobs += 1
         team_use = flow.account.team_use
         if not team_use.jobs:
             self.waiting_weight += team_use.weight
         team_use.jobs += 1
         self.jobs_by_band[flow.account.band] += 1
-        self._count(lane, state, state.pending)
-        self._order.offer(lane)
+        self._adjust_counts(lane, state, state.pending)
+        self._order.reorder(lane)
 
     def tasks_added(self, state: JobState, count: int) -> None:
-        """Counts tasks that were put back to a queued job."""
+        """Counts tasks that were returned to a queued job."""
         assert state.lane is not None
-        self._count(state.lane, state, count)
+        self._adjust_counts(state.lane, state, count)
 
     def cancel(self, state: JobState) -> None:
         """Removes a job in O(1), amortised; without effect if it is not queued."""
         lane = state.lane
         if lane is None:
             return
-        self._count(lane, state, -state.pending)
-        self._leave(state)
-        if len(lane.heap) > 2 * lane.live + SLACK_ENTRIES:
+        self._adjust_counts(lane, state, -state.pending)
+        self._remove(state)
+        if len(lane.heap) > 2 * lane.live_entries + MAX_STALE_ENTRIES:
             lane.heap = [entry for entry in lane.heap if entry[2].lane is lane]
             heapq.heapify(lane.heap)
-        if not lane.live:
+        if not lane.live_entries:
             self._drop_lane(lane)
 
     def tasks_taken(self, state: JobState, count: int) -> None:
         """Counts tasks taken from a queued job. The job leaves the queue with its last task."""
         lane = state.lane
         assert lane is not None
-        self._count(lane, state, -count)
+        self._adjust_counts(lane, state, -count)
         if state.pending == 0:
-            self._leave(state)
+            self._remove(state)
             if lane.heap and lane.heap[0][2] is state:
                 # The entry would become valid again if a task of the job is put back.
                 heapq.heappop(lane.heap)
-            if not lane.live:
+            if not lane.live_entries:
                 self._drop_lane(lane)
 
     def peek_best(
@@ -125,7 +125,8 @@
     ) -> tuple[JobState, bool, bool] | None:
         """Returns the job to be served next, without removing it.
 
-        Also returns whether it is first tier, and whether it is served for its band's guarantee.
+        Also returns whether it is first tier, and whether it is served for its band's guaranteed
+        share.
 
         `may_start`
             Tells whether a second-tier job leaves enough headroom for others.
@@ -133,33 +134,33 @@
             Tells whether it is worth trying to place a job, given whether it is first tier. The
             size classes of jobs for which it is not are parked.
         `resume`
-            Goes on from the last search. Allowed only if nothing has changed since, except that
+            Continues the last search. Allowed only if nothing has changed since, except that
             the job found was parked or waits for quota; all other keys are then the same.
         """
         if not resume:
-            self._tops = [
+            self._search_heap = [
                 group.heap[0]
                 for groups in self._ready.values()
                 for group in groups.values()
                 if group.heap
             ]
-            heapq.heapify(self._tops)
-        best = self._order.best_of(self._tops, now, may_start, may_fit)
+            heapq.heapify(self._search_heap)
+        best = self._order.best_of(self._search_heap, now, may_start, may_fit)
         if not self._fair:
             return best and (*best, False)
         for band in GUARANTEED_SHARE:
             if (best is None or band > best[0].job.band) and self._credit.may_be_owed(band):
-                owed = self._owed(band, now, may_fit)
-                if owed is not None:
-                    return (*owed, True)
+                guaranteed = self._next_guaranteed(band, now, may_fit)
+                if guaranteed is not None:
+                    return (*guaranteed, True)
         return best and (*best, False)
 
     def charge(self, band: Band, work: float) -> None:
-        """Notes work started, in seconds of the whole pool, towards the guaranteed shares."""
+        """Counts started work, in seconds of the whole pool, towards the guaranteed shares."""
         self._credit.charge(band, work, self.jobs_by_band)
 
     def park(self, state: JobState) -> None:
-        """Skips the job's size class until `unpark` finds room for it."""
+        """Skips the job's size class until `unpark` is called with enough free capacity."""
         lane = state.lane
         assert lane is not None
         size_class = lane.group.size_class
@@ -191,17 +192,17 @@
         state.lane.waits_for_quota = True
 
     def account_changed(self, account: Account, now: float) -> None:
-        """Puts the lanes of an account in order again after its use fell."""
+        """Reorders the lanes of an account after its use fell."""
         limited = account.team_use.limit is not None
         for other in account.team_use.accounts if limited else (account,):
             level = other.level(now)
-            reordered = limited or level < other.offered
-            other.offered = level
+            reordered = limited or level < other.highest_entry_level
+            other.highest_entry_level = level
             for lane in other.lanes:
                 entry = lane.entry
                 if reordered or entry is None or (entry[0] and lane.flow.below_claim()):
                     lane.waits_for_quota = False
-                    self._order.offer(lane, now)
+                    self._order.reorder(lane, now)
 
     def set_quota(
         self, team_use: TeamUse, weight: float, limit: Resources | None, now: float
@@ -216,16 +217,16 @@
         team_use.limit = None if limit is None else limit.as_tuple()
 
     def refresh(self, now: float, count: int) -> None:
-        """Puts a few lanes in order again; past use decays even if nothing happens."""
-        ring = self._ring
+        """Reorders up to ``count`` lanes, because past use decays without any event."""
+        ring = self._refresh_ring
         for _ in range(min(count, len(ring))):
             lane = ring.popleft()
-            if lane.live:
-                self._order.offer(lane, now)
+            if lane.live_entries:
+                self._order.reorder(lane, now)
                 ring.append(lane)
 
     def recount(self) -> None:
-        """Computes queued work anew after the capacity of the pool changed."""
+        """Recomputes the queued work after the capacity of the pool changed."""
         self.work_by_band = dict.fromkeys(Band, 0.0)
         for flow in self._shares.flow_by_key.values():
             flow.queued = 0.0
@@ -238,9 +239,9 @@
         """Returns the expected work queued in a flow, as seconds of the whole pool."""
         return sum(self._lane_share(lane) * lane.run for lane in flow.lanes.values())
 
-    def is_parked(self, state_key: tuple) -> bool:
+    def is_parked(self, key: tuple) -> bool:
         """Tells whether the size class with this key is parked."""
-        return state_key in self._parked
+        return key in self._parked
 
     def states(self) -> Iterator[JobState]:
         """Yields the queued jobs, in no particular order."""
@@ -256,7 +257,7 @@
         lane = flow.lanes.get(key)
         if lane is not None:
             return lane
-        if len(flow.lanes) >= MOST_LANES:
+        if len(flow.lanes) >= MAX_LANES_PER_FLOW:
             key = ("other", flow.number)
             lane = flow.lanes.get(key)
             if lane is not None:
@@ -274,7 +275,7 @@
         size_class.lanes += 1
         if not size_class.parked:
             self._ready[band][key] = group
-        self._ring.append(lane)
+        self._refresh_ring.append(lane)
         return lane
 
     def _drop_lane(self, lane: Lane) -> None:
@@ -298,11 +299,11 @@
         if not flow.lanes:
             flow.queued = 0.0
 
-    def _leave(self, state: JobState) -> None:
+    def _remove(self, state: JobState) -> None:
         lane = state.lane
         assert lane is not None
         state.lane = None
-        lane.live -= 1
+        lane.live_entries -= 1
         state.flow.jobs -= 1
         team_use = state.flow.account.team_use
         team_use.jobs -= 1
@@ -310,7 +311,7 @@
             self.waiting_weight -= team_use.weight
         self.jobs_by_band[state.flow.account.band] -= 1
 
-    def _count(self, lane: Lane, state: JobState, tasks: int) -> None:
+    def _adjust_counts(self, lane: Lane, state: JobState, tasks: int) -> None:
         share = self._lane_share(lane)
         run = tasks * state.run
         lane.pending += tasks
@@ -329,12 +330,12 @@
             if group is not None:
                 groups[size_class.key] = group
 
-    def _owed(
+    def _next_guaranteed(
         self, band: Band, now: float, may_fit: Callable[[JobState, bool], bool]
     ) -> tuple[JobState, bool] | None:
-        """Returns the first job of a band that has earned its start by its guaranteed share.
+        """Returns the first job of a band if the credit of its guaranteed share covers it.
 
-        What it has earned is not subject to headroom, or claims of others could shut it out.
+        Headroom does not apply to such a job, or claims of others could starve the band.
         """
         tops = [group.heap[0] for group in self._ready[band].values() if group.heap]
         heapq.heapify(tops)
--- a/hornbeamramp/lane_order.py
+++ b/hornbeamramp/lane_order.py
@@ -22,8 +22,8 @@
         self._fair = fair
         self._park = park
 
-    def offer(self, lane: Lane, now: float | None = None) -> None:
-        """Puts a lane in order again if its key fell or it has no entry."""
+    def reorder(self, lane: Lane, now: float | None = None) -> None:
+        """Adds a new heap entry of the lane if its key fell or it has no entry."""
         key = self._key(lane, lane.flow.account.updated if now is None else now)
         if key is not None and (lane.entry is None or key[:5] < lane.entry[:5]):
             lane.entry = key
@@ -38,8 +38,8 @@
     ) -> tuple[JobState, bool] | None:
         """Returns the best job of the groups with these entries on top, given as a heap.
 
-        Keys rise without notice but entries are renewed when they fall, so an entry is a lower
-        bound and only the lowest ones are computed anew.
+        Entries are replaced when keys fall but not when they rise, so an entry is a lower bound and
+        only the lowest ones are recomputed.
         """
         while tops:
             entry = tops[0]
@@ -54,7 +54,7 @@
             if key[:5] > entry[:5]:
                 heapq.heapreplace(tops, key)
                 continue
-            state, first_tier = key[-1].head(), not key[0]
+            state, first_tier = key[-1].first_job(), not key[0]
             if not may_fit(state, first_tier):
                 self._park(state)
             elif first_tier or may_start(state):
@@ -65,7 +65,7 @@
     def _key(self, lane: Lane, now: float) -> tuple | None:
         if lane.waits_for_quota:
             return None
-        state = lane.head()
+        state = lane.first_job()
         if state is None:
             return None
         if not self._fair:
@@ -74,9 +74,9 @@
         tier = 0 if self._shares.first_tier(flow, state.amount) else 1
         account = flow.account
         level = account.level(now)
-        if level > account.offered:
-            account.offered = level
-        return (tier, account.band, level, state.key, state.sequence, lane)
+        if level > account.highest_entry_level:
+            account.highest_entry_level = level
+        return (tier, account.band, level, state.order_key, state.sequence, lane)
 
     def _top_key(self, group: Group, now: float) -> tuple | None:
         heap = group.heap
--- a/hornbeamramp/lanes.py
+++ b/hornbeamramp/lanes.py
@@ -1,4 +1,4 @@
-"""Lanes, groups and size classes: how queued jobs are kept together."""
+"""Lanes, groups and size classes, by which queued jobs are grouped."""
 
 import heapq
 from functools import lru_cache
@@ -11,13 +11,17 @@
 
 __all__ = ["Group", "Lane", "SizeClass", "class_key"]
 
-# Bounds in seconds between classes of run time; a short task may fit in front of a gang's
-# reservation where a long one doesn't.
-RUN_BOUNDS = (10.0, 120.0)
+# Bounds between classes of run time; a short task may be backfilled before a gang's reservation
+# where a long one can't.
+RUN_CLASS_BOUNDS_S = (10.0, 120.0)
 
 
 class SizeClass:
-    """Jobs that need about the same room. ``needed`` is what did not fit when it was parked."""
+    """Jobs that need about the same resources.
+
+    `needed`
+        Amount that did not fit when the class was parked.
+    """
 
     __slots__ = ("key", "lanes", "needed", "parked")
 
@@ -37,19 +41,19 @@
         "flow",
         "group",
         "heap",
-        "live",
+        "live_entries",
         "pending",
         "run",
         "waits_for_quota",
     )
 
     def __init__(self, flow: Flow, group: "Group", amount: Vector) -> None:
-        # Sizes in a lane differ by an eighth at most, so that of its first job stands for all.
+        # Sizes in a lane differ by an eighth at most, so the size of its first job is used for all.
         self.amount = amount
         self.flow = flow
         self.group = group
         self.heap: list[tuple[float, int, JobState]] = []
-        self.live = 0
+        self.live_entries = 0
         # Tasks to be placed, and the sum of their expected run times in seconds.
         self.pending = 0
         self.run = 0.0
@@ -57,10 +61,10 @@
         self.waits_for_quota = False
 
     def __lt__(self, other: "Lane") -> bool:
-        # Entries of one lane may be equal in all but the lane; their order has no effect.
+        # Entries of one lane may have equal keys; their order has no effect.
         return False
 
-    def head(self) -> JobState | None:
+    def first_job(self) -> JobState | None:
         heap = self.heap
         while heap:
             state = heap[0][2]
@@ -92,7 +96,7 @@
         return (2, state.pending, 0, *_rounded_all(state.amount))
     if state.is_service:
         return (1, 1, 0, *_rounded_all(state.amount))
-    run = (state.run > RUN_BOUNDS[0]) + (state.run > RUN_BOUNDS[1])
+    run = (state.run > RUN_CLASS_BOUNDS_S[0]) + (state.run > RUN_CLASS_BOUNDS_S[1])
     return (0, 1, run, *_rounded_all(state.amount))
 
 
--- a/hornbeamramp/preemption.py
+++ b/hornbeamramp/preemption.py
@@ -1,11 +1,11 @@
-"""Room for urgent work: which tasks to throttle, checkpoint or stop, with the least work lost."""
+"""Preemption for urgent work: tasks to throttle, checkpoint or stop with the least work lost."""
 
 from collections.abc import Callable, Iterable
 
 import msgspec
 
 from hornbeamramp.decisions import Checkpoint, Decision, Stop, Throttle
-from hornbeamramp.flows import Flow, KindUse
+from hornbeamramp.flows import Flow, RouteUse
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.ledger import Vector
 from hornbeamramp.resources import Resources
@@ -16,25 +16,28 @@
 
 __all__ = ["FailedSearches", "Plan", "plan_tasks", "plan_upstream"]
 
-# Upstreams compared when room is made for one urgent task.
-CANDIDATES = 16
-# A task that ran for less time than this is stopped; an older one is checkpointed, which costs
-# about as much as this many seconds of work.
-CHECKPOINT_COST = 2.0
-# Seconds between searches of a kind of work that finds no room.
-SEARCH_PAUSE = 0.05
-PAUSES_KEPT = 1_000
-# A throttled task keeps this part of its processors.
-THROTTLED_PART = 4
-LEAST_PROCESSORS = 100
+# Upstreams compared in a search, beside two for each urgent task.
+BASE_CANDIDATES = 16
+# Cost of a checkpoint as run time of the task. A task that ran for less is stopped instead.
+CHECKPOINT_COST_S = 2.0
+# Time without further searches for a route, band and task size after a failed one.
+SEARCH_PAUSE_S = 0.05
+MAX_PAUSES = 1_000
+# A throttled task keeps its processors divided by this.
+THROTTLE_DIVISOR = 4
+MIN_PROCESSORS_MILLI = 100
 # Loss of throttling, relative to the cost of a checkpoint of the same task.
-THROTTLE_LOSS = 0.1
-# Work in the band NORMAL is given up less readily than BULK.
-NORMAL_FACTOR = 1.5
+THROTTLE_LOSS_FACTOR = 0.1
+# Weight of the loss in band NORMAL relative to BULK, so that BULK is preempted first.
+NORMAL_BAND_LOSS_FACTOR = 1.5
 
 
 class Plan(msgspec.Struct):
-    """Room for one more task on an upstream. ``loss`` is in seconds of the whole pool."""
+    """Preemption that frees capacity for one more task on an upstream.
+
+    `loss`
+        Work lost, in seconds of the whole pool.
+    """
 
     upstream_id: UpstreamId
     loss: float
@@ -42,10 +45,10 @@
     throttled: list[tuple[Attempt, Vector]] = []
 
     def decisions(self, now: float) -> list[Decision]:
-        """Returns the actions that make the room."""
+        """Returns the actions that free the capacity."""
         actions: list[Decision] = []
         for attempt in self.stopped:
-            kind = Stop if attempt.elapsed(now) < CHECKPOINT_COST else Checkpoint
+            kind = Stop if attempt.elapsed(now) < CHECKPOINT_COST_S else Checkpoint
             actions.append(kind(attempt.id, attempt.upstream_id))
         for attempt, amount in self.throttled:
             actions.append(Throttle(attempt.id, attempt.upstream_id, Resources(*amount)))
@@ -53,23 +56,23 @@
 
 
 class FailedSearches:
-    """Pauses the search for room of a kind of work and size of task that found none.
+    """Pauses searches for a route, band and task size after one that found no capacity.
 
     A failed search looks at many upstreams, and an urgent start may take seconds.
     """
 
     def __init__(self) -> None:
-        self._paused_until: dict[tuple[KindUse, Vector], float] = {}
+        self._paused_until: dict[tuple[RouteUse, Vector], float] = {}
 
     def is_paused(self, state: JobState, now: float) -> bool:
-        """Tells whether a search for a task of the job would be too soon."""
-        return self._paused_until.get((state.flow.kind, state.amount), 0.0) > now
+        """Tells whether searches for tasks like those of the job are paused."""
+        return self._paused_until.get((state.flow.route_use, state.amount), 0.0) > now
 
-    def note(self, state: JobState, now: float) -> None:
-        """Takes note of a search that found no room."""
-        if len(self._paused_until) >= PAUSES_KEPT:
+    def record_failure(self, state: JobState, now: float) -> None:
+        """Pauses searches for tasks like those of the job."""
+        if len(self._paused_until) >= MAX_PAUSES:
             self._paused_until.clear()
-        self._paused_until[state.flow.kind, state.amount] = now + SEARCH_PAUSE
+        self._paused_until[state.flow.route_use, state.amount] = now + SEARCH_PAUSE_S
 
 
 def plan_tasks(
@@ -82,36 +85,36 @@
 ) -> list[Plan]:
     """Returns the plans with the least loss, one for each task, or fewer than ``count``.
 
-    Compares a number of upstreams in proportion to ``count``, whatever the size of the pool.
+    The number of upstreams compared grows with ``count``, not with the size of the pool.
     """
     ranked: list[tuple[float, int, Plan]] = []
     amount = state.amount
-    beyond = state.flow.flooding() or state.flow.kind.beyond_claim()
-    # The attempts of one flow are many, so the claim of each flow is computed once.
-    beyond_by_flow: dict[Flow, bool] = {}
+    exceeds_demand = state.flow.flooding() or state.flow.route_use.exceeds_claim()
+    # A flow may have many attempts, so its claim is computed only once.
+    exceeds_claim_by_flow: dict[Flow, bool] = {}
     for number, upstream_id in enumerate(pool.index.reclaimable.candidates(amount)):
-        if number >= CANDIDATES + 2 * count:
+        if number >= BASE_CANDIDATES + 2 * count:
             break
         attempts = tasks.on_upstream(upstream_id)
-        if beyond:
-            # Urgent work beyond its own learned demand takes no room within that of others; it may
-            # be the start of a flood.
-            attempts = [a for a in attempts if _is_beyond(a.state.flow, beyond_by_flow)]
+        if exceeds_demand:
+            # Urgent work beyond its own learned demand may be the start of a flood, so it preempts
+            # nothing within the learned demand of others.
+            attempts = [a for a in attempts if _exceeds_claim(a.state.flow, exceeds_claim_by_flow)]
         free = pool.unheld_soon(upstream_id)
         loss = 0.0
         for plan in plan_upstream(upstream_id, amount, count, free, attempts, shares.share_of, now):
-            # Later plans on an upstream rest on earlier ones.
+            # A plan depends on the earlier plans of its upstream, so it never ranks before them.
             loss = max(loss, plan.loss)
             ranked.append((loss, len(ranked), plan))
     ranked.sort(key=lambda entry: entry[:2])
     return [plan for _, _, plan in ranked[:count]]
 
 
-def _is_beyond(flow: Flow, beyond_by_flow: dict[Flow, bool]) -> bool:
-    known = beyond_by_flow.get(flow)
-    if known is None:
-        known = beyond_by_flow[flow] = flow.beyond_claim()
-    return known
+def _exceeds_claim(flow: Flow, exceeds_claim_by_flow: dict[Flow, bool]) -> bool:
+    cached = exceeds_claim_by_flow.get(flow)
+    if cached is None:
+        cached = exceeds_claim_by_flow[flow] = flow.exceeds_claim()
+    return cached
 
 
 def plan_upstream(
@@ -134,23 +137,24 @@
         key=lambda pair: (pair[0], pair[1].id),
     )
     plans: list[Plan] = []
-    room = list(free)
+    available = list(free)
     for number in range(count):
-        plan = _throttle(upstream_id, amount, room, attempts, share_of) if not number else None
-        stop = _stop(upstream_id, amount, room, victims)
+        plan = _throttle(upstream_id, amount, available, attempts, share_of) if not number else None
+        stop = _stop(upstream_id, amount, available, victims)
         if plan is None or (stop is not None and stop.loss <= plan.loss):
             plan = stop
         if plan is None:
             break
         for attempt in plan.stopped:
-            room = [
-                have + freed for have, freed in zip(room, attempt.reservation.amount, strict=True)
+            available = [
+                have + freed
+                for have, freed in zip(available, attempt.reservation.amount, strict=True)
             ]
-        for attempt, left in plan.throttled:
-            room[0] += attempt.reservation.amount[0] - left[0]
+        for attempt, remaining in plan.throttled:
+            available[0] += attempt.reservation.amount[0] - remaining[0]
         taken = set(plan.stopped)
         victims = [pair for pair in victims if pair[1] not in taken]
-        room = [have - need for have, need in zip(room, amount, strict=True)]
+        available = [have - need for have, need in zip(available, amount, strict=True)]
         plans.append(plan)
         if plan.throttled:
             break
@@ -158,24 +162,27 @@
 
 
 def _loss(attempt: Attempt, share_of: Callable[[Vector], float], now: float) -> float:
-    factor = NORMAL_FACTOR if attempt.state.job.band == Band.NORMAL else 1.0
-    lost = min(max(attempt.elapsed(now), 0.01), CHECKPOINT_COST)
+    factor = NORMAL_BAND_LOSS_FACTOR if attempt.state.job.band == Band.NORMAL else 1.0
+    lost = min(max(attempt.elapsed(now), 0.01), CHECKPOINT_COST_S)
     return lost * share_of(attempt.reservation.amount) * factor
 
 
-def _missing(amount: Vector, room: list[int]) -> list[int]:
-    return [max(need - have, 0) for need, have in zip(amount, room, strict=True)]
+def _missing(amount: Vector, available: list[int]) -> list[int]:
+    return [max(need - have, 0) for need, have in zip(amount, available, strict=True)]
 
 
 def _stop(
-    upstream_id: UpstreamId, amount: Vector, room: list[int], victims: list[tuple[float, Attempt]]
+    upstream_id: UpstreamId,
+    amount: Vector,
+    available: list[int],
+    victims: list[tuple[float, Attempt]],
 ) -> Plan | None:
-    missing = _missing(amount, room)
+    missing = _missing(amount, available)
     if not any(missing):
         return Plan(upstream_id, 0.0)
     best: Plan | None = None
     for loss, attempt in victims:
-        # One victim that is enough by itself, if it costs less than several.
+        # A single victim that frees enough, in case it costs less than several.
         freed = attempt.reservation.amount
         if all(part >= need for part, need in zip(freed, missing, strict=True)):
             best = Plan(upstream_id, loss, [attempt])
@@ -184,8 +191,8 @@
     sums = [0, 0, 0, 0, 0]
     for loss, attempt in victims:
         freed = attempt.reservation.amount
-        useful = zip(freed, missing, sums, strict=True)
-        if not any(part and need > have for part, need, have in useful):
+        parts = zip(freed, missing, sums, strict=True)
+        if not any(part and need > have for part, need, have in parts):
             continue
         chosen.append((loss, attempt))
         sums = [a + b for a, b in zip(sums, freed, strict=True)]
@@ -208,11 +215,11 @@
 def _throttle(
     upstream_id: UpstreamId,
     amount: Vector,
-    room: list[int],
+    available: list[int],
     attempts: list[Attempt],
     share_of: Callable[[Vector], float],
 ) -> Plan | None:
-    missing = _missing(amount, room)
+    missing = _missing(amount, available)
     if not missing[0] or any(missing[1:]):
         return None
     limits: list[tuple[Attempt, Vector]] = []
@@ -222,12 +229,12 @@
     )
     for attempt in ordered:
         held = attempt.reservation.amount
-        left = max(held[0] // THROTTLED_PART, LEAST_PROCESSORS)
-        if left >= held[0]:
+        remaining = max(held[0] // THROTTLE_DIVISOR, MIN_PROCESSORS_MILLI)
+        if remaining >= held[0]:
             continue
-        limits.append((attempt, (left, *held[1:])))
-        freed += held[0] - left
-        loss += THROTTLE_LOSS * CHECKPOINT_COST * share_of(held)
+        limits.append((attempt, (remaining, *held[1:])))
+        freed += held[0] - remaining
+        loss += THROTTLE_LOSS_FACTOR * CHECKPOINT_COST_S * share_of(held)
         if freed >= missing[0]:
             return Plan(upstream_id, loss, [], limits)
     return None
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -1,4 +1,4 @@
-"""Scheduling decisions for one shard, as plain code with a clock and without sockets."""
+"""Scheduling decisions for one shard: synchronous, without I/O, with the clock passed in."""
 
 import heapq
 from collections import Counter
@@ -41,23 +41,23 @@
 
 FIRST_EPOCH = Epoch(1)
 NO_QUOTA = Quota()
-# A usage report this many seconds after the order to throttle shows whether it took effect.
-USAGE_LAG = 1.0
-# Seconds between removals of idle flows.
-PRUNE_INTERVAL = 10.0
+# Usage reports that come earlier after a throttle may still show the use before it.
+USAGE_LAG_S = 1.0
+# Interval at which idle flows are removed.
+PRUNE_INTERVAL_S = 10.0
 
 
 class ShardScheduler:
-    """Decides what runs where in one shard. The same calls at the same times decide the same.
+    """Scheduler of one shard. The same calls at the same times give the same decisions.
 
     `pool`
-        Row of the pool; its ``policy`` names the placement policy.
+        Configuration of the pool; its ``policy`` names the placement policy.
     `quotas_by_team`
         Weights and limits; a team without one has weight 1 and no limit.
     `epoch`
         The owner's epoch, part of each attempt id.
     `queue_bound`
-        Most jobs in the queue.
+        Maximum number of queued jobs.
 
     Raises `PluginNotFoundError` if the pool's policy is unknown.
     """
@@ -94,33 +94,33 @@
             self._dispatcher,
             self._deadlines,
         )
-        self._unknown: dict[AttemptId, Reservation] = {}
-        self._unknown_ends: list[tuple[float, AttemptId]] = []
+        self._unknown_reservation_by_id: dict[AttemptId, Reservation] = {}
+        self._unknown_expiry_heap: list[tuple[float, AttemptId]] = []
         self._sequence = 0
-        self._prune_at = PRUNE_INTERVAL
+        self._prune_at = PRUNE_INTERVAL_S
         self._refused: Counter[RefusalReason] = Counter()
 
     # Upstreams
 
     def add_upstream(self, shape: UpstreamShape) -> None:
-        """Adds an upstream, or updates the shape and leaving mark of a known one."""
+        """Adds an upstream, or updates shape and leaving state of one that was added before."""
         self._upstreams.add(shape, self._now())
         if shape.leaving:
-            self._close(shape.id)
+            self._recall_starts(shape.id)
 
     def set_leaving(self, upstream_id: UpstreamId) -> None:
-        """Places no new work on the upstream from now on, not even starts already decided."""
+        """Stops placement on the upstream and recalls starts that `decide` has not returned yet."""
         self._upstreams.set_leaving(upstream_id)
-        self._close(upstream_id)
+        self._recall_starts(upstream_id)
 
     def remove_upstream(self, upstream_id: UpstreamId) -> list[AttemptId]:
-        """Removes an upstream. Returns its attempts, the end of which is still to be reported."""
+        """Removes an upstream and returns its attempts, whose ends must still be reported."""
         self._upstreams.set_leaving(upstream_id)
-        self._close(upstream_id)
+        self._recall_starts(upstream_id)
         self._upstreams.remove(upstream_id)
-        for attempt_id, reservation in list(self._unknown.items()):
+        for attempt_id, reservation in list(self._unknown_reservation_by_id.items()):
             if not reservation.active:
-                del self._unknown[attempt_id]
+                del self._unknown_reservation_by_id[attempt_id]
         return [attempt.id for attempt in self._tasks.on_upstream(upstream_id)]
 
     def hold_unknown(
@@ -130,11 +130,14 @@
         resources: Resources,
         until: timedelta,
     ) -> None:
-        """Counts capacity as allocated until the boot time ``until``, even beyond the shape."""
-        self._hold(upstream_id, attempt_id, resources, until.total_seconds())
+        """Reserves capacity for an unknown attempt until the boot time ``until``.
+
+        The reservation may exceed the upstream's shape.
+        """
+        self._hold_unknown(upstream_id, attempt_id, resources, until.total_seconds())
 
     def adopt(self, job: Job, attempt_id: AttemptId, upstream_id: UpstreamId) -> None:
-        """Takes over a running attempt of an earlier owner, even beyond the upstream's shape.
+        """Takes over a running attempt of a previous owner, even if it exceeds the shape.
 
         The job does not end before `finish_adoption` is called for it. Raises ``ValueError`` if
         ``attempt_id`` is not an attempt of the job.
@@ -142,7 +145,7 @@
         job_id, task, epoch, number = split_attempt_id(attempt_id)
         if job_id != job.id or not 0 <= task < job.tasks:
             raise ValueError(f"not an attempt of job {job.id}: {attempt_id}")
-        unknown = self._unknown.pop(attempt_id, None)
+        unknown = self._unknown_reservation_by_id.pop(attempt_id, None)
         if unknown is not None:
             self._upstreams.ledger.release(unknown)
         now = self._now()
@@ -152,18 +155,18 @@
             state.drop_pending()
             state.deadline = None
             state.adopted = True
-            self._know(state)
+            self._register(state)
         if attempt_id in self._tasks.attempt_by_id:
             return
         if state.live_by_task and task in state.live_by_task:
-            # Two attempts of one task: the other's end decides, this one only holds capacity.
-            self._hold(upstream_id, attempt_id, job.resources, float("inf"))
+            # Second attempt of a task: only the first one's end counts, this one occupies capacity.
+            self._hold_unknown(upstream_id, attempt_id, job.resources, float("inf"))
             return
         self._upstreams.know(upstream_id)
         held = self._upstreams.ledger.hold(upstream_id, attempt_id, job.resources)
         reservation = held.unwrap()
         if epoch == self._epoch:
-            state.numbers = (state.numbers or {}) | {task: number}
+            state.attempt_number_by_task = (state.attempt_number_by_task or {}) | {task: number}
         state.ran = True
         shape = self._upstreams.index.shape_by_id.get(upstream_id)
         run = state.run / shape.speed if shape is not None else state.run
@@ -188,11 +191,11 @@
             return Ok(Admitted(timedelta(0)))
         state = self._new_state(job, now)
         parked = self._queue.is_parked(class_key(state))
-        admitted = self._admission.admit(job, state.flow, self._expect(job), parked)
+        admitted = self._admission.admit(job, state.flow, self._estimate(job), parked)
         if isinstance(admitted, Err):
             self._refused[admitted.err_value.reason] += 1
             return admitted
-        self._know(state)
+        self._register(state)
         self._queue.push(state)
         self._deadlines.add(state)
         return admitted
@@ -204,15 +207,15 @@
             return None
         state = self._new_state(job, self._now())
         parked = self._queue.is_parked(class_key(state))
-        admitted = self._admission.admit(job, state.flow, self._expect(job), parked)
+        admitted = self._admission.admit(job, state.flow, self._estimate(job), parked)
         return admitted.err_value if isinstance(admitted, Err) else None
 
     def finish_adoption(self, job_id: JobId, done: Collection[int]) -> Ended:
-        """Decides about the tasks of an adopted job that no upstream runs any more.
+        """Ends the adoption of a job: handles its tasks that no upstream runs any more.
 
-        To be called once the upstreams have been listed. ``done`` are the tasks whose answers are
-        known. Missing tasks of an idempotent job or a service are queued; a non-idempotent job
-        ends, as a missing task may have run.
+        To be called once the attempts on all upstreams have been listed. ``done`` are the tasks
+        whose results are known. Missing tasks of an idempotent job or a service are queued; a
+        non-idempotent job fails, because a missing task may have run.
         """
         state = self._tasks.job_by_id.get(job_id)
         if state is None or not state.adopted:
@@ -247,29 +250,29 @@
         A job that had an attempt is kept: it may have run, so it can't be reported as not run.
         """
         now = self._now()
-        late = self._dispatcher.late
-        late.extend(self._deadlines.take_due(now))
-        gone = []
-        for state in late:
-            known = self._tasks.job_by_id.get(state.job.id) is state
-            if known and state.is_late(now):
+        past_deadline = self._dispatcher.past_deadline
+        past_deadline.extend(self._deadlines.take_due(now))
+        expired_ids = []
+        for state in past_deadline:
+            is_known = self._tasks.job_by_id.get(state.job.id) is state
+            if is_known and state.is_expired(now):
                 self._dispatcher.drop(state)
                 self._ends.forget(state)
-                gone.append(state.job.id)
-            elif known:
-                # A task that had room kept for it has started since: the job goes on.
+                expired_ids.append(state.job.id)
+            elif is_known:
+                # A task of the job was started from a hold in the meantime, so the job continues.
                 self._dispatcher.requeue(state, [])
-        late.clear()
-        return gone
+        past_deadline.clear()
+        return expired_ids
 
     def decide(self, limit: int) -> list[Decision]:
         """Returns at most ``limit`` actions for the owner to carry out."""
         now = self._now()
         self._update_shapes()
-        while self._unknown_ends and self._unknown_ends[0][0] <= now:
-            self._release_unknown(heapq.heappop(self._unknown_ends)[1])
+        while self._unknown_expiry_heap and self._unknown_expiry_heap[0][0] <= now:
+            self._release_unknown(heapq.heappop(self._unknown_expiry_heap)[1])
         if now >= self._prune_at:
-            self._prune_at = now + PRUNE_INTERVAL
+            self._prune_at = now + PRUNE_INTERVAL_S
             self._shares.prune(now)
         return self._dispatcher.decide(limit, now)
 
@@ -280,7 +283,7 @@
             attempt.started_at = self._now()
 
     def throttled(self, attempt_id: AttemptId) -> None:
-        """Reports that a `Throttle` took effect; the room it frees may then be used."""
+        """Reports that a `Throttle` took effect; the capacity it frees may now be used."""
         attempt = self._tasks.attempt_by_id.get(attempt_id)
         if attempt is None or attempt.throttled_to is None:
             return
@@ -289,7 +292,7 @@
         self._ends.recount(attempt, self._now())
 
     def ended(self, attempt_id: AttemptId, end: TaskEnd, usage: Resources | None = None) -> Ended:
-        """Reports the end of an attempt, frees its capacity and tells what follows for its job.
+        """Reports the end of an attempt, frees its capacity and returns what follows for its job.
 
         `usage`
             Highest measured use of the attempt, if known.
@@ -302,7 +305,7 @@
         return self._ends.end(attempt, end, usage, now)
 
     def report_usage(self, attempt_id: AttemptId, usage: Resources) -> None:
-        """Reports the measured use of a running attempt. What exceeds its size is accounted."""
+        """Reports the measured use of a running attempt. Raises its reservation to it."""
         attempt = self._tasks.attempt_by_id.get(attempt_id)
         if attempt is None:
             return
@@ -311,8 +314,8 @@
         attempt.peak = measured if peak is None else tuple(map(max, peak, measured))
         limit = attempt.throttled_to
         if limit is not None:
-            late = self._now() >= attempt.limited_at + USAGE_LAG
-            if late and measured[0] <= limit[0]:
+            lag_passed = self._now() >= attempt.throttled_at + USAGE_LAG_S
+            if lag_passed and measured[0] <= limit[0]:
                 self.throttled(attempt_id)
             return
         self._upstreams.ledger.grow(attempt.reservation, usage)
@@ -323,7 +326,7 @@
         return timedelta(seconds=self._admission.expected_wait(band))
 
     def set_quotas(self, quotas_by_team: Mapping[TeamId, Quota]) -> None:
-        """Applies changed weights and limits. Running tasks beyond a lower limit run on."""
+        """Applies changed weights and limits. Running tasks above a lowered limit continue."""
         self._quotas_by_team = quotas_by_team
         now = self._now()
         for team, team_use in self._shares.use_by_team.items():
@@ -333,7 +336,7 @@
     def snapshot(self) -> SchedulerStatus:
         """Returns the state for operators. Takes time in proportion to teams and upstreams."""
         queued = dict(self._queue.jobs_by_band)
-        for state in self._dispatcher.waiting_elsewhere():
+        for state in self._dispatcher.unqueued_waiting_jobs():
             queued[state.job.band] += 1
         used = {t: Resources(*u.used) for t, u in self._shares.use_by_team.items() if any(u.used)}
         return SchedulerStatus(
@@ -350,7 +353,7 @@
     def _now(self) -> float:
         return self._clock.boot_time().total_seconds()
 
-    def _expect(self, job: Job) -> Expectation:
+    def _estimate(self, job: Job) -> Expectation:
         declared = job.declared_run.total_seconds()
         return self._estimates.expect(job.route, job.team, job.resources, declared)
 
@@ -359,12 +362,12 @@
         flow = self._shares.flow(job.band, job.team, job.route, quota.weight, quota.limit, now)
         self._sequence += 1
         state = JobState(job, flow, self._sequence, now)
-        expectation = self._expect(job)
+        expectation = self._estimate(job)
         state.run = expectation.run
         state.amount = self._admission.size(job, flow, expectation.amount)
         return state
 
-    def _know(self, state: JobState) -> None:
+    def _register(self, state: JobState) -> None:
         self._tasks.job_by_id[state.job.id] = state
         state.flow.unfinished_jobs += 1
 
@@ -374,25 +377,25 @@
             self._admission.set_shapes(*changed)
             self._queue.recount()
 
-    def _close(self, upstream_id: UpstreamId) -> None:
-        """Takes back starts on an upstream that were decided but not returned yet."""
+    def _recall_starts(self, upstream_id: UpstreamId) -> None:
+        """Recalls starts on an upstream that `decide` has not returned yet."""
         now = self._now()
         for attempt in self._tasks.on_upstream(upstream_id):
             if not attempt.emitted and attempt.id in self._tasks.attempt_by_id:
                 self._ends.recall(attempt, now)
         self._dispatcher.release_holds(upstream_id, now)
 
-    def _hold(
+    def _hold_unknown(
         self, upstream_id: UpstreamId, attempt_id: AttemptId, resources: Resources, until: float
     ) -> None:
-        if attempt_id in self._unknown or attempt_id in self._tasks.attempt_by_id:
+        if attempt_id in self._unknown_reservation_by_id or attempt_id in self._tasks.attempt_by_id:
             return
         self._upstreams.know(upstream_id)
         held = self._upstreams.ledger.hold(upstream_id, attempt_id, resources)
-        self._unknown[attempt_id] = held.unwrap()
-        heapq.heappush(self._unknown_ends, (until, attempt_id))
+        self._unknown_reservation_by_id[attempt_id] = held.unwrap()
+        heapq.heappush(self._unknown_expiry_heap, (until, attempt_id))
 
     def _release_unknown(self, attempt_id: AttemptId) -> None:
-        reservation = self._unknown.pop(attempt_id, None)
+        reservation = self._unknown_reservation_by_id.pop(attempt_id, None)
         if reservation is not None:
             self._upstreams.ledger.release(reservation)
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -1,8 +1,8 @@
-"""Use of the pool by band, team and route, and the room others are learned to need.
+"""Fair-share accounting of the pool by band, team and route, with headroom for learned demand.
 
-Work within a flow's learned demand goes before work beyond it, and work beyond it leaves free what
-the others are learned to need (headroom). Accounts of a band share by weighted dominant resource
-share.
+Work within a flow's learned demand (first tier) is served before work beyond it (second tier). The
+latter must leave capacity free for the learned demand of the others (headroom). Accounts of a band
+share the pool by weighted dominant resource fairness.
 """
 
 from math import exp
@@ -10,11 +10,11 @@
 from hornbeamramp.demand import DemandSum
 from hornbeamramp.flows import (
     BURST_SHARE,
-    LEAST_SHARE,
+    MIN_SHARE,
     TOLERANCE,
     Account,
     Flow,
-    KindUse,
+    RouteUse,
     TeamUse,
 )
 from hornbeamramp.ids import RouteName, TeamId
@@ -24,19 +24,19 @@
 
 __all__ = ["FairShares"]
 
-# Seconds over which demand is learned; a flood that lasts as long as this does not push out what
-# was learned before, because flows that are served keep their demand current.
-DEMAND_TIME = 300.0
-# A flow that has nothing queued and nothing in use for so many seconds has ended: its demand is
-# forgotten over ``IDLE_TIME`` seconds, because room kept for it is wasted. Steady work is rarely
-# idle for as long.
-IDLE_AFTER = 20.0
-IDLE_TIME = 10.0
-# Part of its fair share that a flow may use whatever others are learned to need.
-UNCLAIMED_PART = 0.5
-# Standing work beyond its claim leaves room for this many times the learned demand of others. It is
-# never preempted and takes slots on each machine, which leaves rooms too small for larger tasks.
-STANDING_MARGIN = 1.5
+# Averaging time of learned demand. A flood that lasts as long as this does not displace what was
+# learned before, because flows that are served keep their demand up to date.
+DEMAND_AVERAGING_TIME_S = 300.0
+# A flow that has had nothing queued or in use for IDLE_AFTER_S counts as ended: its demand decays
+# with time constant IDLE_DECAY_S, because capacity kept free for it is wasted. Steady work is
+# rarely idle for as long.
+IDLE_AFTER_S = 20.0
+IDLE_DECAY_S = 10.0
+# Fraction of its fair share that a flow may use regardless of the learned demand of others.
+UNCLAIMED_FRACTION = 0.5
+# Services beyond their claim leave this multiple of the learned demand of others free. They are
+# never preempted, and the slots they take on each upstream leave too little for larger tasks.
+SERVICE_HEADROOM_FACTOR = 1.5
 
 
 class FairShares:
@@ -47,27 +47,27 @@
         self.flow_by_key: dict[tuple[Band, TeamId, RouteName], Flow] = {}
         self.account_by_key: dict[tuple[Band, TeamId], Account] = {}
         self.use_by_team: dict[TeamId, TeamUse] = {}
-        self._kind_by_key: dict[tuple[Band, RouteName], KindUse] = {}
+        self._route_use_by_key: dict[tuple[Band, RouteName], RouteUse] = {}
         self._share_by_amount: dict[Vector, float] = {}
-        self._number = 0
-        self._since = now
+        self._last_flow_number = 0
+        self._started_at = now
         # Sum of the weights of all accounts.
-        self._weights = 0.0
-        self._host = DemandSum()
+        self._total_weight = 0.0
+        self._host_demand = DemandSum()
         self._excess = 0.0
-        self._accelerators = DemandSum()
+        self._accelerator_demand = DemandSum()
         # Free capacity of the upstreams that may receive work.
         self.free = [0, 0, 0, 0, 0]
 
     def set_total(self, total: Vector) -> None:
-        """Sets the pool's capacity and puts all shares in relation to it."""
+        """Sets the pool's capacity and recomputes all shares."""
         self.total = total
         self._share_by_amount.clear()
         for account in self.account_by_key.values():
             account.share = self._share(account.used)
         for flow in self.flow_by_key.values():
             self._set_shares(flow)
-        self._sum_up()
+        self._recompute_sums()
 
     def share_of(self, amount: Vector) -> float:
         """Returns the dominant share of one task of this size."""
@@ -98,10 +98,10 @@
         if account is None:
             account = self.account_by_key[(band, team)] = Account(band, team, weight, team_use, now)
             team_use.accounts.append(account)
-            self._weights += weight
-        self._number += 1
-        kind = self._kind_by_key.setdefault((band, route), KindUse())
-        flow = Flow(account, route, kind, self._number, now)
+            self._total_weight += weight
+        self._last_flow_number += 1
+        route_use = self._route_use_by_key.setdefault((band, route), RouteUse())
+        flow = Flow(account, route, route_use, self._last_flow_number, now)
         self.flow_by_key[(band, team, route)] = flow
         return flow
 
@@ -111,59 +111,61 @@
         if amount[2]:
             unit = amount[2] / (self.total[2] or 1)
             flow.accelerators.unit = max(flow.accelerators.unit, unit)
-        self._change(flow, amount, 1, now)
+        self._change_use(flow, amount, 1, now)
 
     def remove_use(self, flow: Flow, amount: Vector, now: float) -> None:
         """Counts a task as no longer in use."""
-        self._change(flow, amount, -1, now)
+        self._change_use(flow, amount, -1, now)
 
     def observe(self, flow: Flow, now: float) -> None:
-        """Learns from what the flow had in use since it last changed."""
+        """Updates the learned demand with what the flow had in use since the last update."""
         elapsed = now - flow.updated
         if elapsed <= 0:
             return
         flow.updated = now
         if flow.share or flow.jobs:
             flow.active_at = now
-        idle = now - flow.active_at > IDLE_AFTER
+        idle = now - flow.active_at > IDLE_AFTER_S
         growing = flow.host.share > flow.host.mean or (
             flow.accelerators.share > flow.accelerators.mean
         )
         if growing and flow.backlogged():
             return
-        # A plain average while the scheduler is young, so that demand is learned within seconds
-        # after a take-over. A flow that appears later earns its claim slowly, or a flood would.
+        # A plain average during the first DEMAND_AVERAGING_TIME_S, so that demand is learned within
+        # seconds after a change of owner. The claim of a flow that appears later grows slowly, or a
+        # flood would get a claim at once.
         if idle:
-            weight = 1.0 - exp(-elapsed / IDLE_TIME)
+            weight = 1.0 - exp(-elapsed / IDLE_DECAY_S)
         else:
-            weight = elapsed / (min(DEMAND_TIME, now - self._since) + elapsed)
-        kind, host = flow.kind, flow.host
-        kind.mean -= host.mean
-        kind.variance -= host.variance
-        self._host.learn(host, weight)
-        kind.mean += host.mean
-        kind.variance += host.variance
-        self._host.recap(host)
+            weight = elapsed / (min(DEMAND_AVERAGING_TIME_S, now - self._started_at) + elapsed)
+        route_use, host = flow.route_use, flow.host
+        route_use.mean -= host.mean
+        route_use.variance -= host.variance
+        self._host_demand.learn(host, weight)
+        route_use.mean += host.mean
+        route_use.variance += host.variance
+        self._host_demand.recap(host)
         if flow.accelerators.share or flow.accelerators.mean:
-            self._accelerators.learn(flow.accelerators, weight)
-            self._accelerators.recap(flow.accelerators)
+            self._accelerator_demand.learn(flow.accelerators, weight)
+            self._accelerator_demand.recap(flow.accelerators)
 
     def headroom(self, flow: Flow) -> float:
-        """Returns the share of the pool that ``flow`` leaves free for others' learned demand."""
-        return self._host.headroom(flow.host)
+        """Returns the share of the pool that the flow must leave free for others' demand."""
+        return self._host_demand.headroom(flow.host)
 
     def first_tier(self, flow: Flow, amount: Vector) -> bool:
-        """Tells whether another task of this size is within what the flow may claim."""
+        """Tells whether another task of this size is first tier: within the claim or a burst."""
         if flow.bursting():
             return True
         band = flow.account.band
         if band == Band.URGENT and self._excess > 0:
-            # Less urgent work uses more than its learned demand; that room may be taken, but no
-            # more than it, or one kind's excess would open the demand of all others to a flood.
-            most = min(flow.kind.claim() + self._excess, BURST_SHARE[band])
-            if flow.kind.share + self.share_of(amount) <= most:
+            # Less urgent work uses more than its learned demand. Only this excess may be taken, or
+            # the excess of one route would let a flood take the learned demand of all others.
+            limit = min(flow.route_use.claim() + self._excess, BURST_SHARE[band])
+            if flow.route_use.share + self.share_of(amount) <= limit:
                 return True
-        # A backlogged flow would use its whole claim all the time; that is more than it used to.
+        # A backlogged flow would use its whole claim all the time, which is more than it used
+        # before; so only the mean counts.
         backlogged = flow.backlogged()
         host = flow.host
         claim = host.mean if backlogged else host.claim()
@@ -178,12 +180,12 @@
     def leaves_headroom(self, flow: Flow, amount: Vector) -> bool:
         """Tells whether the others' learned demand still fits after one more task.
 
-        Half its fair share is open to each flow, or idle claims could shut it out.
+        Half its fair share is available to each flow, or unused claims could starve it.
         """
         if not flow.share:
             return True
-        fair = flow.account.weight / max(self._weights, flow.account.weight)
-        if flow.share + self.share_of(amount) <= UNCLAIMED_PART * fair:
+        fair = flow.account.weight / max(self._total_weight, flow.account.weight)
+        if flow.share + self.share_of(amount) <= UNCLAIMED_FRACTION * fair:
             return True
         # Headroom is kept in whole tasks, rounded to the nearest.
         left, total = 1.0, self.total
@@ -193,61 +195,67 @@
                 part = (self.free[i] - amount[i]) / (total[i] or 1)
                 if part < left:
                     left = part
-        if left + slack < self._host.headroom(flow.host):
+        if left + slack < self._host_demand.headroom(flow.host):
             return False
         if not amount[2]:
             return True
         left = (self.free[2] - amount[2]) / (total[2] or 1)
-        return left + TOLERANCE >= self._accelerators.headroom(flow.accelerators)
+        return left + TOLERANCE >= self._accelerator_demand.headroom(flow.accelerators)
 
-    def leaves_headroom_for_standing(self, flow: Flow, amount: Vector) -> bool:
-        """Tells whether the flow may run another standing task beyond its claim.
+    def leaves_headroom_for_service(self, flow: Flow, amount: Vector) -> bool:
+        """Tells whether the flow may run another service task beyond its claim.
 
-        The bound holds for all teams' work of the kind together. Each flow may run one task, or
-        claims for the whole pool could shut it out.
+        The bound applies to the route's work in the band over all teams. Each flow may run one
+        task, or claims for the whole pool could starve it.
         """
         if not flow.share:
             return True
-        kind = flow.kind
-        most = max(1.0 - STANDING_MARGIN * self._host.beyond(kind.mean, kind.variance), 0.0)
-        if kind.share + self.share_of(amount) > max(most, kind.claim()) + TOLERANCE:
+        route_use = flow.route_use
+        limit = max(
+            1.0
+            - SERVICE_HEADROOM_FACTOR
+            * self._host_demand.beyond(route_use.mean, route_use.variance),
+            0.0,
+        )
+        if route_use.share + self.share_of(amount) > max(limit, route_use.claim()) + TOLERANCE:
             return False
         return self.leaves_headroom(flow, amount)
 
     def leaves_headroom_for_gang(self, flow: Flow, amount: Vector, count: int) -> bool:
-        """Tells whether the flow may run a gang beyond its claim, once there is room for it.
+        """Tells whether the flow may run a gang beyond its claim, once capacity is free.
 
-        Free capacity is not asked for, because a gang may wait with a reservation. A flow that runs
-        no gang may run any, or one larger than the unclaimed part would never run.
+        Free capacity is not checked, because a gang may wait with a reservation. A flow that runs
+        no gang may run one of any size, or a gang larger than the unclaimed capacity would never
+        run.
         """
         if not flow.gang_tasks:
             return True
         count += flow.gang_tasks
         host = self._host_share(amount) * count
-        if host + self._host.without(flow.host) > 1.0 + TOLERANCE:
+        if host + self._host_demand.without(flow.host) > 1.0 + TOLERANCE:
             return False
         if not amount[2]:
             return True
         own = amount[2] * count / (self.total[2] or 1)
-        return own + self._accelerators.without(flow.accelerators) <= 1.0 + TOLERANCE
+        return own + self._accelerator_demand.without(flow.accelerators) <= 1.0 + TOLERANCE
 
     def prune(self, now: float) -> None:
-        """Forgets flows without use, queue or noticeable demand. Removes rounding errors."""
+        """Removes flows without use, unfinished jobs or demand, and rounding errors of the sums."""
         for key, flow in list(self.flow_by_key.items()):
             self.observe(flow, now)
-            if not flow.unfinished_jobs and not any(flow.used) and flow.claim() < LEAST_SHARE:
+            if not flow.unfinished_jobs and not any(flow.used) and flow.claim() < MIN_SHARE:
                 del self.flow_by_key[key]
         kept = {flow.account for flow in self.flow_by_key.values()}
         for account_key, account in list(self.account_by_key.items()):
-            if account not in kept and account.score(now) < LEAST_SHARE:
+            if account not in kept and account.score(now) < MIN_SHARE:
                 del self.account_by_key[account_key]
                 account.team_use.accounts.remove(account)
                 if not account.team_use.accounts:
                     del self.use_by_team[account.team]
-        self._weights = sum(account.weight for account in self.account_by_key.values())
-        self._sum_up()
+        self._total_weight = sum(account.weight for account in self.account_by_key.values())
+        self._recompute_sums()
 
-    def _change(self, flow: Flow, amount: Vector, sign: int, now: float) -> None:
+    def _change_use(self, flow: Flow, amount: Vector, sign: int, now: float) -> None:
         self.observe(flow, now)
         account = flow.account
         account.observe(now)
@@ -259,63 +267,63 @@
             used[4] += sign * amount[4]
         account.share = self._share(account.used)
         self._set_shares(flow)
-        self._host.recap(flow.host)
-        self._recap_excess(flow.account.band, flow.kind)
+        self._host_demand.recap(flow.host)
+        self._update_excess(flow.account.band, flow.route_use)
         if amount[2]:
-            self._accelerators.recap(flow.accelerators)
+            self._accelerator_demand.recap(flow.accelerators)
 
     def note_stopping(self, flow: Flow, share: float) -> None:
-        """Adds to the share of tasks that were ordered to end; negative once they have ended."""
+        """Adds to the share of tasks that were told to stop; negative once they have ended."""
         stopping = max(flow.stopping + share, 0.0) if flow.share else 0.0
-        flow.kind.stopping += stopping - flow.stopping
+        flow.route_use.stopping += stopping - flow.stopping
         flow.stopping = stopping
-        self._recap_excess(flow.account.band, flow.kind)
+        self._update_excess(flow.account.band, flow.route_use)
 
-    def _recap_excess(self, band: Band, kind: KindUse) -> None:
+    def _update_excess(self, band: Band, route_use: RouteUse) -> None:
         if band < Band.NORMAL:
             return
-        excess = kind.share - kind.stopping - kind.claim()
-        excess = excess if excess > LEAST_SHARE else 0.0
-        self._excess += excess - kind.excess
-        kind.excess = excess
+        excess = route_use.share - route_use.stopping - route_use.claim()
+        excess = excess if excess > MIN_SHARE else 0.0
+        self._excess += excess - route_use.excess
+        route_use.excess = excess
 
     def _set_shares(self, flow: Flow) -> None:
         used = flow.used
         flow.host.share = self._host_share(used)
         flow.accelerators.share = used[2] / (self.total[2] or 1) if used[2] else 0.0
         share = max(flow.host.share, flow.accelerators.share)
-        flow.kind.share += share - flow.share
+        flow.route_use.share += share - flow.share
         flow.share = share
 
-    def _sum_up(self) -> None:
+    def _recompute_sums(self) -> None:
         flows = self.flow_by_key.values()
-        self._kind_by_key = {(flow.account.band, flow.route): flow.kind for flow in flows}
-        for kind in self._kind_by_key.values():
-            kind.reset()
+        self._route_use_by_key = {(flow.account.band, flow.route): flow.route_use for flow in flows}
+        for route_use in self._route_use_by_key.values():
+            route_use.reset()
         for flow in flows:
-            flow.kind.add(flow)
-        for (band, _), kind in self._kind_by_key.items():
-            self._recap_excess(band, kind)
-        self._excess = sum(kind.excess for kind in self._kind_by_key.values())
-        self._host.sum_up([flow.host for flow in flows])
-        self._accelerators.sum_up([flow.accelerators for flow in flows])
+            flow.route_use.add(flow)
+        for (band, _), route_use in self._route_use_by_key.items():
+            self._update_excess(band, route_use)
+        self._excess = sum(route_use.excess for route_use in self._route_use_by_key.values())
+        self._host_demand.sum_up([flow.host for flow in flows])
+        self._accelerator_demand.sum_up([flow.accelerators for flow in flows])
 
     def _host_share(self, used: Vector | list[int]) -> float:
-        t = self.total
-        share = used[0] / t[0] if t[0] else 0.0
+        capacity = self.total
+        share = used[0] / capacity[0] if capacity[0] else 0.0
         for i in (1, 3, 4):
-            if t[i] and used[i]:
-                part = used[i] / t[i]
+            if capacity[i] and used[i]:
+                part = used[i] / capacity[i]
                 if part > share:
                     share = part
         return share
 
     def _share(self, used: Vector | list[int]) -> float:
-        t = self.total
+        capacity = self.total
         share = 0.0
         for i in (0, 1, 2, 3, 4):
             if used[i]:
-                part = used[i] / t[i] if t[i] else 1.0
+                part = used[i] / capacity[i] if capacity[i] else 1.0
                 if part > share:
                     share = part
         return share
--- a/hornbeamramp/task_table.py
+++ b/hornbeamramp/task_table.py
@@ -1,4 +1,4 @@
-"""Jobs and attempts the scheduler knows, with what it keeps about each."""
+"""Unfinished jobs and live attempts of a scheduler, with their state."""
 
 from typing import TYPE_CHECKING
 
@@ -16,14 +16,18 @@
 
 
 class Attempt:
-    """A live attempt. Times are seconds of boot time, ``run`` is on its upstream."""
+    """A live attempt. Times are seconds of boot time.
+
+    `run`
+        Expected run time on its upstream in seconds.
+    """
 
     __slots__ = (
         "counted_amount",
         "emitted",
         "guaranteed",
         "id",
-        "limited_at",
+        "throttled_at",
         "throttled_to",
         "overdue",
         "peak",
@@ -57,20 +61,20 @@
         self.placed_at = placed_at
         self.started_at: float | None = None
         self.peak: Vector | None = None
-        # What the shares count for the attempt.
+        # Amount that `FairShares` counts as in use for the attempt.
         self.counted_amount = reservation.amount
         # Whether `decide` has returned the start.
         self.emitted = False
-        # Whether the end of the attempt was ordered.
+        # Whether the attempt was told to stop.
         self.stopping = False
         # Whether it was started for the guaranteed share of its band.
         self.guaranteed = False
-        # Whether its end was ordered but is not reported in time.
+        # Whether it was told to stop but its end was not reported in time.
         self.overdue = False
-        # Size to which the attempt was ordered to throttle, and when.
+        # Size of a throttle that was ordered but has not taken effect, and when it was ordered.
         self.throttled_to: Vector | None = None
-        self.limited_at = 0.0
-        # Whether it was ever throttled, so that its run time says nothing about others.
+        self.throttled_at = 0.0
+        # Whether it was ever throttled; its run time is then no basis for estimates.
         self.was_throttled = False
         self.probe = False
 
@@ -81,7 +85,7 @@
     def expected_end(self, now: float) -> float:
         """Returns when the attempt is expected to end; infinity for a service.
 
-        An attempt that is over its time is expected to take half as long again.
+        An attempt that exceeds its expected run time is expected to take half as long again.
         """
         if self.state.is_service:
             return float("inf")
@@ -91,7 +95,7 @@
     def preemptible(self) -> bool:
         """Tells whether the attempt may be stopped for urgent work.
 
-        Work of a guaranteed share is spared, or urgent work would take the share back.
+        Work of a band's guaranteed share is exempt, or urgent work would take the share back.
         """
         return not (self.stopping or self.guaranteed) and self.state.preemptible
 
@@ -105,15 +109,15 @@
 
     `amount`, `run`
         Expected size and run time in seconds of a task, fixed when the job is queued.
-    `next_task`, `again`
-        Tasks to be placed: those from ``next_task`` on and those in ``again``.
+    `next_task`, `requeued_tasks`
+        Tasks to be placed: those from ``next_task`` on and those in ``requeued_tasks``.
     `lane`
         Where the job is queued, or ``None``.
     """
 
     __slots__ = (
         "adopted",
-        "again",
+        "requeued_tasks",
         "amount",
         "avoid",
         "cancelled",
@@ -124,12 +128,12 @@
         "flow",
         "holds",
         "job",
-        "key",
+        "order_key",
         "lane",
         "throttleable",
         "live_by_task",
         "next_task",
-        "numbers",
+        "attempt_number_by_task",
         "preemptible",
         "rack_position",
         "ran",
@@ -148,17 +152,17 @@
         self.deadline = None if job.deadline is None else now + job.deadline.total_seconds()
         self.amount: Vector = (0, 0, 0, 0, 0)
         self.run = 0.0
-        self.key = 0.0
+        self.order_key = 0.0
         self.next_task = 0
-        self.again: list[int] | None = None
+        self.requeued_tasks: list[int] | None = None
         self.lane: Lane | None = None
         self.live_by_task: dict[int, Attempt] | None = None
         self.holds: list[Hold] | None = None
-        self.numbers: dict[int, int] | None = None
+        self.attempt_number_by_task: dict[int, int] | None = None
         self.tasks_by_rack: dict[RackId, int] | None = None
         self.rack_position = 0
         self.avoid: set[UpstreamId] | None = None
-        # Tasks that wait for their retry.
+        # Number of tasks that wait for a delayed retry.
         self.delayed = 0
         self.failures = 0
         # Whether any attempt may have run.
@@ -173,15 +177,19 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether no task runs or waits. Of an adopted job more tasks may yet be found."""
+        """Whether no task runs or waits. An adopted job may have running tasks not yet listed."""
         return not (self.live_by_task or self.holds or self.delayed or self.pending or self.adopted)
 
     @property
     def pending(self) -> int:
         """Number of tasks to be placed."""
-        return self.job.tasks - self.next_task + (len(self.again) if self.again else 0)
+        return (
+            self.job.tasks
+            - self.next_task
+            + (len(self.requeued_tasks) if self.requeued_tasks else 0)
+        )
 
-    def is_late(self, now: float) -> bool:
+    def is_expired(self, now: float) -> bool:
         """Tells whether the deadline has passed and no attempt may have run."""
         return (
             self.deadline is not None
@@ -191,22 +199,22 @@
 
     def take_task(self) -> int:
         """Removes and returns the next task to be placed."""
-        if self.again:
-            return self.again.pop()
+        if self.requeued_tasks:
+            return self.requeued_tasks.pop()
         task = self.next_task
         self.next_task += 1
         return task
 
     def put_back(self, task: int) -> None:
         """Returns a task to those to be placed."""
-        if self.again is None:
-            self.again = []
-        self.again.append(task)
+        if self.requeued_tasks is None:
+            self.requeued_tasks = []
+        self.requeued_tasks.append(task)
 
     def drop_pending(self) -> None:
-        """Leaves no task to be placed."""
+        """Discards all tasks to be placed and ends an adoption."""
         self.next_task = self.job.tasks
-        self.again = None
+        self.requeued_tasks = None
         self.adopted = False
 
 
@@ -221,14 +229,14 @@
 
     def next_attempt_id(self, state: JobState, task: int) -> AttemptId:
         """Returns the id of the next attempt of a task and counts it."""
-        if state.numbers is None:
-            state.numbers = {}
-        number = state.numbers[task] = state.numbers.get(task, 0) + 1
+        if state.attempt_number_by_task is None:
+            state.attempt_number_by_task = {}
+        number = state.attempt_number_by_task[task] = state.attempt_number_by_task.get(task, 0) + 1
         return attempt_id(state.job.id, task, self._epoch, number)
 
     def attempts(self, state: JobState, task: int) -> int:
         """Returns the number of attempts of a task so far."""
-        return state.numbers.get(task, 0) if state.numbers else 0
+        return state.attempt_number_by_task.get(task, 0) if state.attempt_number_by_task else 0
 
     def add(self, attempt: Attempt) -> None:
         state = attempt.state
