--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -81,7 +81,7 @@
                 return self._fail(state, faulty)
         return self._retry(attempt, end, now)
 
-    def finish_adoption(self, state: JobState, missing: list[int]) -> Ended:
+    def reconcile_adopted(self, state: JobState, missing: list[int]) -> Ended:
         """Queues the missing tasks of an adopted job, or ends the job if that is not safe."""
         if missing and state.job.idempotent:
             self._dispatcher.requeue(state, missing)
--- a/hornbeamramp/job_lifecycle.py
+++ b/hornbeamramp/job_lifecycle.py
@@ -271,7 +271,7 @@
 
     def _settle(self, record: JobRecord) -> None:
         """Queues or ends an adopted job whose other tasks no upstream runs."""
-        ended = self._scheduler.finish_adoption(record.job.id, record.result_by_task.keys())
+        ended = self._scheduler.reconcile_adopted(record.job.id, record.result_by_task.keys())
         if ended is Ended.JOB_FAILED:
             record.uncertain = True
         self._conclude(record, ended)
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -139,7 +139,7 @@
     def adopt(self, job: Job, attempt_id: AttemptId, upstream_id: UpstreamId) -> None:
         """Takes over a running attempt of a previous owner, even if it exceeds the shape.
 
-        The job does not end before `finish_adoption` is called for it. Raises ``ValueError`` if
+        The job does not end before `reconcile_adopted` is called for it. Raises ``ValueError`` if
         ``attempt_id`` is not an attempt of the job.
         """
         job_id, task, epoch, number = split_attempt_id(attempt_id)
@@ -210,7 +210,7 @@
         admitted = self._admission.admit(job, state.flow, self._estimate(job), parked)
         return admitted.err_value if isinstance(admitted, Err) else None
 
-    def finish_adoption(self, job_id: JobId, done: Collection[int]) -> Ended:
+    def reconcile_adopted(self, job_id: JobId, done: Collection[int]) -> Ended:
         """Ends the adoption of a job: handles its tasks that no upstream runs any more.
 
         To be called once the attempts on all upstreams have been listed. ``done`` are the tasks
@@ -223,7 +223,7 @@
         state.adopted = False
         live = state.live_by_task or {}
         missing = [t for t in range(state.job.tasks) if t not in live and t not in done]
-        return self._ends.finish_adoption(state, missing)
+        return self._ends.reconcile_adopted(state, missing)
 
     def cancel(self, job_id: JobId) -> Cancellation:
         """Removes a queued job, or returns the attempts of a running job that must be stopped."""
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -209,7 +209,7 @@
     advance(clock, 20.0)
     scheduler.decide(1)
     assert scheduler.snapshot().upstreams[0].free.slots == 3
-    assert scheduler.finish_adoption("1", set()) is Ended.TASK_DONE
+    assert scheduler.reconcile_adopted("1", set()) is Ended.TASK_DONE
     assert scheduler.ended("1.0.1.1", TaskEnd.SUCCEEDED, None) is Ended.JOB_DONE
     assert scheduler.snapshot().upstreams[0].free.slots == 4
 
@@ -219,7 +219,7 @@
     job = make_job(1, tasks=3)
     scheduler.adopt(job, "1.1.1.1", "u0")
     assert scheduler.decide(10) == []
-    assert scheduler.finish_adoption("1", {2}) is Ended.RETRY
+    assert scheduler.reconcile_adopted("1", {2}) is Ended.RETRY
     assert sorted(start.task for start in starts(scheduler.decide(10))) == [0]
 
 
@@ -228,7 +228,7 @@
     scheduler = make_scheduler(clock, 1, epoch=Epoch(2))
     scheduler.adopt(make_job(1, tasks=2), "1.0.1.1", "u0")
     assert scheduler.ended("1.0.1.1", TaskEnd.SUCCEEDED, None) is Ended.TASK_DONE
-    assert scheduler.finish_adoption("1", {0}) is Ended.RETRY
+    assert scheduler.reconcile_adopted("1", {0}) is Ended.RETRY
     assert [start.task for start in starts(scheduler.decide(10))] == [1]
 
 
@@ -236,7 +236,7 @@
     """Guards against a second run of a settlement whose first run no upstream remembers."""
     scheduler = make_scheduler(clock, 1, epoch=Epoch(2))
     scheduler.adopt(make_job(1, tasks=2, idempotent=False), "1.0.1.1", "u0")
-    assert scheduler.finish_adoption("1", set()) is Ended.JOB_FAILED
+    assert scheduler.reconcile_adopted("1", set()) is Ended.JOB_FAILED
     assert starts(scheduler.decide(10)) == []
 
 
