--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,4 +1,4 @@
-"""Tests of gangs: all at once or not at all, reservations and backfill."""
+"""Tests of gangs: all-or-nothing starts, reservations and backfill."""
 
 from hornbeamramp.decisions import Ended, Stop, TaskEnd
 from hornbeamramp.jobs import GangJob
@@ -6,7 +6,7 @@
 from hornbeamramp.states import Band
 from tests.builders import advance, fill, finish, make_job, make_scheduler, starts
 
-WHOLE = Resources(4000, 4096, 0, 4, 4)
+WHOLE_UPSTREAM = Resources(4000, 4096, 0, 4, 4)
 
 
 def test_starts_beyond_the_limit_follow_in_the_next_calls(clock):
@@ -17,10 +17,10 @@
 
 
 def test_a_waiting_gang_is_not_overtaken_forever(clock):
-    """Guards against small jobs that take each freed slot before the gang gets enough of them."""
+    """Guards against starvation of a gang by small jobs that take each freed slot first."""
     scheduler = make_scheduler(clock, 2)
     running = fill(scheduler, 8, band=Band.NORMAL)
-    scheduler.submit(make_job("gang", GangJob, tasks=2, resources=WHOLE))
+    scheduler.submit(make_job("gang", GangJob, tasks=2, resources=WHOLE_UPSTREAM))
     for number in range(60):
         advance(clock, 0.2)
         scheduler.submit(make_job(f"small{number}", band=Band.NORMAL, run=100.0))
@@ -39,7 +39,7 @@
     for start in rest:
         if start.upstream_id == long.upstream_id:
             finish(scheduler, start)
-    scheduler.submit(make_job("gang", GangJob, tasks=2, resources=WHOLE))
+    scheduler.submit(make_job("gang", GangJob, tasks=2, resources=WHOLE_UPSTREAM))
     assert scheduler.decide(10) == []
     scheduler.submit(make_job("long", run=600.0, band=Band.NORMAL, route="long"))
     scheduler.submit(make_job("short", run=5.0, band=Band.NORMAL, route="short"))
@@ -49,7 +49,7 @@
 def test_a_reservation_is_bounded_in_time(clock):
     scheduler = make_scheduler(clock, 2)
     long, *rest = fill(scheduler, 8, run=5.0, band=Band.NORMAL, idempotent=False)
-    scheduler.submit(make_job("gang", GangJob, tasks=2, resources=WHOLE))
+    scheduler.submit(make_job("gang", GangJob, tasks=2, resources=WHOLE_UPSTREAM))
     scheduler.decide(10)
     for start in rest:
         finish(scheduler, start)
@@ -85,8 +85,8 @@
     scheduler = make_scheduler(clock, 3)
     scheduler.submit(make_job("gang", GangJob, tasks=8))
     emitted = starts(scheduler.decide(1))
-    left = {"u0", "u1", "u2"} - {emitted[0].upstream_id}
-    for upstream_id in left:
+    other_ids = {"u0", "u1", "u2"} - {emitted[0].upstream_id}
+    for upstream_id in other_ids:
         scheduler.set_leaving(upstream_id)
     (stop,) = scheduler.decide(10)
     assert stop == Stop(emitted[0].attempt_id, emitted[0].upstream_id)
--- a/tests/test_job_queue.py
+++ b/tests/test_job_queue.py
@@ -131,12 +131,12 @@
     calls = 0
     place = scheduler._dispatcher._policy.place
 
-    def counting(*arguments):
+    def count_calls(*arguments):
         nonlocal calls
         calls += 1
         return place(*arguments)
 
-    scheduler._dispatcher._policy.place = counting
+    scheduler._dispatcher._policy.place = count_calls
     for _ in range(100):
         assert scheduler.decide(10) == []
     assert calls == 0
@@ -151,20 +151,20 @@
     for i in range(count):
         scheduler.submit(make_job(i, team=f"team{i % 180}", deadline=1e6)).unwrap()
     full = tracemalloc.get_traced_memory()[0] - before
-    at = time.perf_counter()
+    started_at = time.perf_counter()
     for i in range(count):
         if i % 10:
             assert scheduler.cancel(str(i)).kind is CancellationKind.QUEUED
-    took = time.perf_counter() - at
-    left = tracemalloc.get_traced_memory()[0] - before
+    elapsed = time.perf_counter() - started_at
+    remaining = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
     assert sum(scheduler.snapshot().queued_by_band.values()) == count // 10
-    assert left < full * 0.3
-    assert took / count < 0.001
+    assert remaining < full * 0.3
+    assert elapsed / count < 0.001
 
 
 def test_services_and_their_estimates(clock):
-    """The time a service ran is no run time of the route."""
+    """Guards against estimates of a route's run time that include how long a service ran."""
     scheduler = make_scheduler(clock, 1)
     scheduler.submit(make_job("service", ServiceJob, route="r"))
     (start,) = starts(scheduler.decide(1))
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -1,4 +1,4 @@
-"""Tests of room for urgent work."""
+"""Tests of preemption for urgent work."""
 
 import pytest
 
@@ -34,7 +34,7 @@
     scheduler.submit(make_job("urgent", band=Band.URGENT))
     (action,) = scheduler.decide(10)
     assert scheduler.decide(10) == []
-    # Other work does not get the room either, however the end comes about.
+    # Other work must not take the freed capacity either, whichever way the attempt ends.
     scheduler.submit(make_job("other", band=Band.SERVICE))
     assert finish(scheduler, placed[action.attempt_id], TaskEnd.STOPPED) is Ended.RETRY
     assert [start.job.id for start in starts(scheduler.decide(10))] == ["urgent"]
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""Tests of the scheduler's calls as its owner makes them."""
+"""Tests of the calls that the owner of a shard makes on its scheduler."""
 
 from datetime import timedelta
 
@@ -54,12 +54,12 @@
     scheduler.submit(job(1, ServiceJob))
     (start,) = scheduler.decide(10)
     assert scheduler.ended(start.attempt_id, TaskEnd.FAILED, None) is Ended.RETRY
-    (again,) = scheduler.decide(10)
-    assert again.attempt_id != start.attempt_id
+    (retry,) = scheduler.decide(10)
+    assert retry.attempt_id != start.attempt_id
     cancellation = scheduler.cancel(JobId("j1"))
     assert cancellation.kind is CancellationKind.RUNNING
-    assert [s.attempt_id for s in cancellation.stop] == [again.attempt_id]
-    assert scheduler.ended(again.attempt_id, TaskEnd.STOPPED, None) is Ended.JOB_CANCELLED
+    assert [s.attempt_id for s in cancellation.stop] == [retry.attempt_id]
+    assert scheduler.ended(retry.attempt_id, TaskEnd.STOPPED, None) is Ended.JOB_CANCELLED
 
 
 def test_job_that_never_fits_is_refused(scheduler):
@@ -118,9 +118,9 @@
     scheduler.submit(make_job(1, idempotent=False))
     (start,) = starts(scheduler.decide(1))
     assert finish(scheduler, start, TaskEnd.NOT_STARTED) is Ended.RETRY
-    (again,) = starts(scheduler.decide(1))
-    assert again.attempt_id != start.attempt_id
-    assert again.upstream_id != start.upstream_id
+    (retry,) = starts(scheduler.decide(1))
+    assert retry.attempt_id != start.attempt_id
+    assert retry.upstream_id != start.upstream_id
 
 
 def test_a_failed_job_has_its_other_attempts_stopped(clock):
@@ -149,28 +149,28 @@
 
 def test_an_upstream_that_fails_every_task_gets_one_probe_at_a_time(clock):
     scheduler = make_scheduler(clock, 10)
-    bad = None
+    faulty_id = None
     for i in range(8):
         scheduler.submit(make_job(i))
         (start,) = starts(scheduler.decide(1))
-        bad = bad or start.upstream_id
-        end = TaskEnd.FAILED if start.upstream_id == bad else TaskEnd.SUCCEEDED
+        faulty_id = faulty_id or start.upstream_id
+        end = TaskEnd.FAILED if start.upstream_id == faulty_id else TaskEnd.SUCCEEDED
         if finish(scheduler, start, end) is Ended.RETRY:
-            (again,) = starts(scheduler.decide(1))
-            finish(scheduler, again)
+            (retry,) = starts(scheduler.decide(1))
+            finish(scheduler, retry)
     states = {u.id: u.state for u in scheduler.snapshot().upstreams}
-    assert states[bad] is UpstreamState.QUARANTINED
+    assert states[faulty_id] is UpstreamState.QUARANTINED
     for i in range(20):
         scheduler.submit(make_job(f"a{i}"))
-    assert bad not in {start.upstream_id for start in starts(scheduler.decide(100))}
+    assert faulty_id not in {start.upstream_id for start in starts(scheduler.decide(100))}
     advance(clock, 6.0)
     for i in range(5):
         scheduler.submit(make_job(f"b{i}"))
-    probes = [s for s in starts(scheduler.decide(100)) if s.upstream_id == bad]
+    probes = [s for s in starts(scheduler.decide(100)) if s.upstream_id == faulty_id]
     assert len(probes) == 1
     finish(scheduler, probes[0])
     states = {u.id: u.state for u in scheduler.snapshot().upstreams}
-    assert states[bad] is UpstreamState.ACTIVE
+    assert states[faulty_id] is UpstreamState.ACTIVE
 
 
 def test_a_leaving_upstream_gets_no_new_work(clock):
@@ -188,8 +188,8 @@
     (start,) = starts(scheduler.decide(1))
     assert scheduler.remove_upstream("fast") == [start.attempt_id]
     assert finish(scheduler, start, TaskEnd.LOST) is Ended.RETRY
-    (again,) = starts(scheduler.decide(1))
-    assert again.upstream_id == "slow"
+    (retry,) = starts(scheduler.decide(1))
+    assert retry.upstream_id == "slow"
 
 
 def test_unknown_usage_is_held_until_its_time(clock):
@@ -224,7 +224,7 @@
 
 
 def test_an_adopted_job_does_not_end_before_all_upstreams_are_listed(clock):
-    """Guards against a job that is reported as done with the answers of some of its tasks."""
+    """Guards against a job that is reported as done with the results of only some tasks."""
     scheduler = make_scheduler(clock, 1, epoch=Epoch(2))
     scheduler.adopt(make_job(1, tasks=2), "1.0.1.1", "u0")
     assert scheduler.ended("1.0.1.1", TaskEnd.SUCCEEDED, None) is Ended.TASK_DONE
@@ -233,7 +233,7 @@
 
 
 def test_a_missing_task_of_a_non_idempotent_job_is_not_started(clock):
-    """Guards against a second run of a settlement whose first run no upstream remembers."""
+    """Guards against a second run of a settlement that no upstream lists any more."""
     scheduler = make_scheduler(clock, 1, epoch=Epoch(2))
     scheduler.adopt(make_job(1, tasks=2, idempotent=False), "1.0.1.1", "u0")
     assert scheduler.reconcile_adopted("1", set()) is Ended.JOB_FAILED
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -62,18 +62,18 @@
 
 
 class Model:
-    """Runs calls on a scheduler and keeps its own account of what the decisions allocate."""
+    """Applies calls to a scheduler and tracks on its own what the decisions allocate."""
 
     def __init__(self, policy="default"):
         self.clock = ManualClock()
         quotas = {TeamId("b"): Quota(2.0, Resources(12000, 12000, 2, 10, 20))}
         self.scheduler = ShardScheduler(Pool(PoolName("p"), policy=policy), self.clock, quotas)
         self.shape_by_id = {}
-        self.closed = set()
-        self.live = {}
+        self.leaving = set()
+        self.start_by_attempt = {}
         self.live_tasks = set()
-        self.overfull = {}
-        self.jobs = {}
+        self.overcommitted = {}
+        self.job_by_id = {}
         self.finished = set()
         self.number = 0
         for i in range(3):
@@ -83,7 +83,7 @@
         shape = SHAPES[i % len(SHAPES)]
         upstream_id = UpstreamId(f"u{i}")
         self.shape_by_id[upstream_id] = shape
-        self.closed.discard(upstream_id)
+        self.leaving.discard(upstream_id)
         self.scheduler.add_upstream(UpstreamShape(upstream_id, RackId(f"k{i % 2}"), shape, 1.0 + i))
 
     def submit(self, kind, size, tasks, band, team, idempotent, deadline):
@@ -100,7 +100,7 @@
             deadline=None if deadline is None else timedelta(seconds=deadline),
         )
         if isinstance(self.scheduler.submit(job), Ok):
-            self.jobs[job.id] = job
+            self.job_by_id[job.id] = job
 
     def decide(self, limit):
         actions = self.scheduler.decide(limit)
@@ -110,26 +110,26 @@
                 task = (action.job.id, action.task)
                 assert task not in self.live_tasks, "two live attempts of one task"
                 assert action.job.id not in self.finished
-                assert action.attempt_id not in self.live
+                assert action.attempt_id not in self.start_by_attempt
                 assert action.upstream_id in self.shape_by_id
-                assert action.upstream_id not in self.closed
-                self.live[action.attempt_id] = action
+                assert action.upstream_id not in self.leaving
+                self.start_by_attempt[action.attempt_id] = action
                 self.live_tasks.add(task)
             else:
                 assert isinstance(action, Stop | Checkpoint | Throttle)
-                assert action.attempt_id in self.live
+                assert action.attempt_id in self.start_by_attempt
                 if not isinstance(action, Throttle):
-                    self.finished_or_idempotent(action.attempt_id)
+                    self.check_may_be_stopped(action.attempt_id)
 
-    def finished_or_idempotent(self, attempt_id):
-        job = self.live[attempt_id].job
+    def check_may_be_stopped(self, attempt_id):
+        job = self.start_by_attempt[attempt_id].job
         assert job.idempotent or job.id in self.finished
 
     def end(self, index, end, usage):
-        if not self.live:
+        if not self.start_by_attempt:
             return
-        attempt_id = sorted(self.live)[index % len(self.live)]
-        action = self.live.pop(attempt_id)
+        attempt_id = sorted(self.start_by_attempt)[index % len(self.start_by_attempt)]
+        action = self.start_by_attempt.pop(attempt_id)
         self.live_tasks.discard((action.job.id, action.task))
         ended = self.scheduler.ended(attempt_id, end, usage)
         if ended in (Ended.JOB_DONE, Ended.JOB_FAILED, Ended.JOB_CANCELLED):
@@ -140,29 +140,33 @@
         assert self.scheduler.ended(attempt_id, end, usage) is Ended.IGNORED
 
     def usage(self, index, usage):
-        if self.live:
-            self.scheduler.report_usage(sorted(self.live)[index % len(self.live)], usage)
+        if self.start_by_attempt:
+            self.scheduler.report_usage(
+                sorted(self.start_by_attempt)[index % len(self.start_by_attempt)], usage
+            )
 
     def throttled(self, index):
-        if self.live:
-            self.scheduler.throttled(sorted(self.live)[index % len(self.live)])
+        if self.start_by_attempt:
+            self.scheduler.throttled(
+                sorted(self.start_by_attempt)[index % len(self.start_by_attempt)]
+            )
 
     def cancel(self, number):
         job_id = JobId(f"j{number}")
-        if job_id in self.jobs:
+        if job_id in self.job_by_id:
             self.scheduler.cancel(job_id)
             self.finished.add(job_id)
 
     def leave(self, i):
-        self.closed.add(UpstreamId(f"u{i}"))
+        self.leaving.add(UpstreamId(f"u{i}"))
         self.scheduler.set_leaving(UpstreamId(f"u{i}"))
 
     def remove(self, i):
         upstream_id = UpstreamId(f"u{i}")
         self.shape_by_id.pop(upstream_id, None)
-        self.overfull.pop(upstream_id, None)
+        self.overcommitted.pop(upstream_id, None)
         for attempt_id in self.scheduler.remove_upstream(upstream_id):
-            action = self.live.pop(attempt_id)
+            action = self.start_by_attempt.pop(attempt_id)
             self.live_tasks.discard((action.job.id, action.task))
             ended = self.scheduler.ended(attempt_id, TaskEnd.LOST, None)
             if ended in (Ended.JOB_DONE, Ended.JOB_FAILED, Ended.JOB_CANCELLED):
@@ -173,7 +177,7 @@
         upstream_id = UpstreamId(f"u{i}")
         until = self.clock.boot_time() + timedelta(seconds=duration)
         self.scheduler.hold_unknown(upstream_id, AttemptId(f"x{self.number}.0.1.1"), size, until)
-        self.overfull[upstream_id] = True
+        self.overcommitted[upstream_id] = True
 
     def check(self):
         ledger = self.scheduler._upstreams.ledger
@@ -184,10 +188,10 @@
                 sums = [a + b for a, b in zip(sums, reservation.amount, strict=True)]
             assert tuple(sums) == allocated
             assert min(free) >= 0
-            if upstream_id not in self.overfull:
+            if upstream_id not in self.overcommitted:
                 assert Resources(*allocated).fits_in(shape), "more allocated than the machine has"
             granted = [0] * 5
-            for action in self.live.values():
+            for action in self.start_by_attempt.values():
                 if action.upstream_id == upstream_id and action.job.id not in self.finished:
                     reserved = next(
                         r
@@ -217,7 +221,7 @@
 
 
 def busy_steps(seed, count=300):
-    """Returns steps that keep a small pool full, which short random lists rarely do."""
+    """Yields steps that keep a small pool full, which short random lists rarely do."""
     random = Random(seed)
     sizes = [
         Resources(1000, 500),
@@ -270,7 +274,7 @@
             model.clock.set(model.clock.boot_time() + timedelta(seconds=arguments[0]))
         elif name == "expire":
             for job_id in model.scheduler.expire():
-                assert not any(a.job.id == job_id for a in model.live.values())
+                assert not any(a.job.id == job_id for a in model.start_by_attempt.values())
                 model.finished.add(job_id)
         else:
             getattr(model, name)(*arguments)
@@ -308,22 +312,22 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.integers(0, 2**32))
-@example(105192)  # A job left the queue as late, ran after all and was then forgotten.
+@example(105192)  # An expired job left the queue, but a task still ran and the job was forgotten.
 def test_every_job_ends_once_the_pool_works(seed):
-    """Guards against jobs that are parked, held or delayed and never tried again."""
+    """Guards against jobs that are parked, held or delayed and never placed again."""
     model = Model()
     run_steps(model, busy_steps(seed))
-    # A job that was admitted for an upstream that has left since waits for another like it.
+    # A job admitted for an upstream that was removed later waits for another of its shape.
     for i in range(6):
         model.add(i)
-    for job in model.jobs.values():
+    for job in model.job_by_id.values():
         if isinstance(job, ServiceJob):
             model.cancel(int(job.id[1:]))
     for _ in range(400):
         now = model.clock.boot_time()
         model.clock.set(now + timedelta(seconds=5))
         run_steps(model, [("expire",), ("decide", 1000)])
-        while model.live:
+        while model.start_by_attempt:
             model.end(0, TaskEnd.SUCCEEDED, None)
         if not model.scheduler._tasks.job_by_id:
             break
