--- a/hornbeamramp/recovery.py
+++ b/hornbeamramp/recovery.py
@@ -91,7 +91,7 @@
 
     def _hold(self, link: UpstreamLink, task: ListedTask) -> None:
         until = self._clock.boot_time() + task.lease_left
-        self._scheduler.hold_unknown(link.id, task.attempt_id, task.resources, until)
+        self._scheduler.reserve_unknown(link.id, task.attempt_id, task.resources, until)
 
     def _is_leftover(self, task: ListedTask) -> bool:
         """Tells whether this owner started the task and has given it up since."""
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -123,7 +123,7 @@
                 del self._unknown_reservation_by_id[attempt_id]
         return [attempt.id for attempt in self._tasks.on_upstream(upstream_id)]
 
-    def hold_unknown(
+    def reserve_unknown(
         self,
         upstream_id: UpstreamId,
         attempt_id: AttemptId,
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -194,7 +194,7 @@
 
 def test_unknown_usage_is_held_until_its_time(clock):
     scheduler = make_scheduler(clock, 1)
-    scheduler.hold_unknown("u0", "x.0.1.1", Resources(9000, 9000), timedelta(seconds=10))
+    scheduler.reserve_unknown("u0", "x.0.1.1", Resources(9000, 9000), timedelta(seconds=10))
     scheduler.submit(make_job(1))
     assert scheduler.decide(1) == []
     assert scheduler.snapshot().upstreams[0].free.processors_milli == 0
@@ -204,7 +204,7 @@
 
 def test_an_unknown_hold_becomes_an_adopted_attempt(clock):
     scheduler = make_scheduler(clock, 1, epoch=Epoch(2))
-    scheduler.hold_unknown("u0", "1.0.1.1", SMALL, timedelta(seconds=10))
+    scheduler.reserve_unknown("u0", "1.0.1.1", SMALL, timedelta(seconds=10))
     scheduler.adopt(make_job(1), "1.0.1.1", "u0")
     advance(clock, 20.0)
     scheduler.decide(1)
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -176,7 +176,7 @@
         self.number += 1
         upstream_id = UpstreamId(f"u{i}")
         until = self.clock.boot_time() + timedelta(seconds=duration)
-        self.scheduler.hold_unknown(upstream_id, AttemptId(f"x{self.number}.0.1.1"), size, until)
+        self.scheduler.reserve_unknown(upstream_id, AttemptId(f"x{self.number}.0.1.1"), size, until)
         self.overcommitted[upstream_id] = True
 
     def check(self):
