--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -134,7 +134,7 @@
 
         The reservation may exceed the upstream's shape.
         """
-        self._hold_unknown(upstream_id, attempt_id, resources, until.total_seconds())
+        self._reserve_unknown(upstream_id, attempt_id, resources, until.total_seconds())
 
     def adopt(self, job: Job, attempt_id: AttemptId, upstream_id: UpstreamId) -> None:
         """Takes over a running attempt of a previous owner, even if it exceeds the shape.
@@ -160,7 +160,7 @@
             return
         if state.live_by_task and task in state.live_by_task:
             # Second attempt of a task: only the first one's end counts, this one occupies capacity.
-            self._hold_unknown(upstream_id, attempt_id, job.resources, float("inf"))
+            self._reserve_unknown(upstream_id, attempt_id, job.resources, float("inf"))
             return
         self._upstreams.know(upstream_id)
         held = self._upstreams.ledger.hold(upstream_id, attempt_id, job.resources)
@@ -385,7 +385,7 @@
                 self._ends.recall(attempt, now)
         self._dispatcher.release_holds(upstream_id, now)
 
-    def _hold_unknown(
+    def _reserve_unknown(
         self, upstream_id: UpstreamId, attempt_id: AttemptId, resources: Resources, until: float
     ) -> None:
         if attempt_id in self._unknown_reservation_by_id or attempt_id in self._tasks.attempt_by_id:
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -73,7 +73,7 @@
         self.start_by_attempt = {}
         self.live_tasks = set()
         self.overcommitted = {}
-        self.job_by_id = {}
+        self.admitted_job_by_id = {}
         self.finished = set()
         self.number = 0
         for i in range(3):
@@ -100,7 +100,7 @@
             deadline=None if deadline is None else timedelta(seconds=deadline),
         )
         if isinstance(self.scheduler.submit(job), Ok):
-            self.job_by_id[job.id] = job
+            self.admitted_job_by_id[job.id] = job
 
     def decide(self, limit):
         actions = self.scheduler.decide(limit)
@@ -153,7 +153,7 @@
 
     def cancel(self, number):
         job_id = JobId(f"j{number}")
-        if job_id in self.job_by_id:
+        if job_id in self.admitted_job_by_id:
             self.scheduler.cancel(job_id)
             self.finished.add(job_id)
 
@@ -320,7 +320,7 @@
     # A job admitted for an upstream that was removed later waits for another of its shape.
     for i in range(6):
         model.add(i)
-    for job in model.job_by_id.values():
+    for job in model.admitted_job_by_id.values():
         if isinstance(job, ServiceJob):
             model.cancel(int(job.id[1:]))
     for _ in range(400):
