--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -11,7 +11,7 @@
 from hornbeamramp.jobs import GangJob
 from hornbeamramp.ledger import Vector
 from hornbeamramp.resources import Resources
-from hornbeamramp.shares import ShareBook
+from hornbeamramp.shares import FairShares
 from hornbeamramp.task_table import Attempt, JobState, TaskTable
 from hornbeamramp.upstream_pool import UpstreamPool
 
@@ -34,7 +34,7 @@
     def __init__(
         self,
         tasks: TaskTable,
-        shares: ShareBook,
+        shares: FairShares,
         queue: JobQueue,
         estimates: Estimates,
         pool: UpstreamPool,
@@ -58,15 +58,15 @@
         if end is not TaskEnd.NOT_STARTED:
             state.ran = True
         if state.cancelled or state.failed:
-            if not state.over:
+            if not state.is_finished:
                 return Ended.IGNORED
             self.forget(state)
             return Ended.JOB_CANCELLED if state.cancelled else Ended.IGNORED
         faulty = self._update_health(attempt, end, now)
-        if state.standing and state.job.idempotent:
+        if state.is_service and state.job.idempotent:
             return self._retry(attempt, end, now)
         if end is TaskEnd.SUCCEEDED:
-            if state.over:
+            if state.is_finished:
                 self.forget(state)
                 return Ended.JOB_DONE
             self._requeue_pending_gang(state)
@@ -88,7 +88,7 @@
             return Ended.RETRY
         if missing:
             return self._fail(state, faulty=False)
-        if state.over:
+        if state.is_finished:
             self.forget(state)
             return Ended.JOB_DONE
         return Ended.TASK_DONE
@@ -99,11 +99,11 @@
         if attempt.id not in self._tasks.attempt_by_id:
             return
         self._tasks.remove(attempt)
-        self._shares.give_back(state.flow, attempt.counted, now)
+        self._shares.remove_use(state.flow, attempt.counted_amount, now)
         if isinstance(state.job, GangJob):
             state.flow.gang_tasks -= 1
         if attempt.stopping:
-            self._shares.note_stopping(state.flow, -self._shares.share_of(attempt.counted))
+            self._shares.note_stopping(state.flow, -self._shares.share_of(attempt.counted_amount))
         self._pool.ledger.release(attempt.reservation)
         self._queue.account_changed(state.flow.account, now)
         if state.tasks_by_rack is not None:
@@ -120,16 +120,16 @@
     def update_shares(self, attempt: Attempt, now: float) -> None:
         """Updates the shares after the attempt's reservation has changed."""
         amount: Vector = attempt.reservation.amount
-        if amount != attempt.counted:
-            self._shares.give_back(attempt.state.flow, attempt.counted, now)
-            self._shares.take(attempt.state.flow, amount, now)
-            attempt.counted = amount
+        if amount != attempt.counted_amount:
+            self._shares.remove_use(attempt.state.flow, attempt.counted_amount, now)
+            self._shares.add_use(attempt.state.flow, amount, now)
+            attempt.counted_amount = amount
             self._queue.account_changed(attempt.state.flow.account, now)
 
     def forget(self, state: JobState) -> None:
         """Removes the state of a job that has ended."""
         if self._tasks.job_by_id.pop(state.job.id, None) is not None:
-            state.flow.states -= 1
+            state.flow.unfinished_jobs -= 1
         self._deadlines.discard(state)
         self._pool.health.forget_job(state.job.id)
 
@@ -143,7 +143,7 @@
             peak = used if peak is None else tuple(map(max, peak, used))
         if peak is not None and end is not TaskEnd.NOT_STARTED:
             self._estimates.observe_usage(job.route, job.team, Resources(*peak))
-        if end is TaskEnd.SUCCEEDED and not attempt.state.standing and not attempt.slowed:
+        if end is TaskEnd.SUCCEEDED and not attempt.state.is_service and not attempt.was_throttled:
             shape = self._pool.index.shape_by_id.get(attempt.upstream_id)
             if shape is not None:
                 run = attempt.elapsed(now) * shape.speed
@@ -169,7 +169,7 @@
             failed_job_id = job_id if end is TaskEnd.FAILED else None
             changed = health.failed(upstream_id, failed_job_id, now)
             if changed:
-                self._dispatcher.give_up_holds(upstream_id, now)
+                self._dispatcher.release_holds(upstream_id, now)
         elif attempt.probe:
             health.probe_ended(upstream_id, now)
         if changed:
@@ -184,19 +184,19 @@
         state = attempt.state
         if isinstance(state.job, GangJob) and state.job.idempotent:
             # The tasks of a gang run at the same time or not at all.
-            for sibling in list((state.live or {}).values()):
+            for sibling in list((state.live_by_task or {}).values()):
                 if sibling.id not in self._tasks.attempt_by_id:
                     continue
                 if not sibling.emitted:
                     self.withdraw_start(sibling, now)
                 elif not sibling.stopping:
-                    self._dispatcher.order(Stop(sibling.id, sibling.upstream_id), sibling)
+                    self._dispatcher.enqueue_action(Stop(sibling.id, sibling.upstream_id), sibling)
         self._requeue(attempt, end, now)
         return Ended.RETRY
 
     def _requeue(self, attempt: Attempt, end: TaskEnd, now: float) -> None:
         state = attempt.state
-        budgeted = end in (TaskEnd.FAILED, TaskEnd.LOST) and not state.standing
+        budgeted = end in (TaskEnd.FAILED, TaskEnd.LOST) and not state.is_service
         delay = 0.0
         attempts = self._tasks.attempts(state, attempt.task)
         stop_ordered = attempt.stopping and not budgeted
@@ -221,11 +221,11 @@
             self.at_fault.append(state.job.id)
         state.failed = True
         self._dispatcher.drop(state)
-        for attempt in list((state.live or {}).values()):
+        for attempt in list((state.live_by_task or {}).values()):
             if not attempt.emitted:
                 self.free(attempt, attempt.placed_at)
             elif not attempt.stopping:
-                self._dispatcher.order(Stop(attempt.id, attempt.upstream_id), attempt)
-        if not state.live:
+                self._dispatcher.enqueue_action(Stop(attempt.id, attempt.upstream_id), attempt)
+        if not state.live_by_task:
             self.forget(state)
         return Ended.JOB_FAILED
--- a/hornbeamramp/recovery.py
+++ b/hornbeamramp/recovery.py
@@ -91,7 +91,7 @@
 
     def _hold_allocation(self, link: UpstreamLink, task: ListedTask) -> None:
         until = self._clock.boot_time() + task.lease_left
-        self._scheduler.hold_unknown(link.id, task.attempt_id, task.resources, until)
+        self._scheduler.reserve_unknown(link.id, task.attempt_id, task.resources, until)
 
     def _is_leftover(self, task: ListedTask) -> bool:
         """Returns whether this owner started the task and no longer tracks it."""
--- a/hornbeamramp/upstream_pool.py
+++ b/hornbeamramp/upstream_pool.py
@@ -8,7 +8,7 @@
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.ledger import Ledger, Vector
 from hornbeamramp.resources import ZERO, Resources
-from hornbeamramp.shares import ShareBook
+from hornbeamramp.shares import FairShares
 from hornbeamramp.states import UpstreamState
 from hornbeamramp.task_table import TaskTable
 from hornbeamramp.upstream_health import UpstreamHealth
@@ -26,7 +26,7 @@
         Upstreams whose capacity changed; cleared by the dispatcher.
     """
 
-    def __init__(self, tasks: TaskTable, shares: ShareBook) -> None:
+    def __init__(self, tasks: TaskTable, shares: FairShares) -> None:
         self.ledger = Ledger(self.capacity_changed)
         self.index = CapacityIndex(self._free, self._reclaimable, self._drainable)
         self.health = UpstreamHealth()
@@ -139,8 +139,8 @@
             amount = attempt.reservation.amount
             if attempt.stopping and not attempt.overdue:
                 sums = [a + b for a, b in zip(sums, amount, strict=True)]
-            elif attempt.limited_to is not None:
-                sums[0] += amount[0] - min(attempt.limited_to[0], amount[0])
+            elif attempt.throttled_to is not None:
+                sums[0] += amount[0] - min(attempt.throttled_to[0], amount[0])
         return tuple(sums)  # type: ignore[return-value]
 
     def statuses(self) -> list[UpstreamStatus]:
@@ -177,7 +177,7 @@
             amount = attempt.reservation.amount
             if attempt.preemptible():
                 sums = [a + b for a, b in zip(sums, amount, strict=True)]
-            elif attempt.limitable():
+            elif attempt.throttleable():
                 sums[0] += amount[0]
         return tuple(max(part, 0) for part in sums)  # type: ignore[return-value]
 
@@ -186,6 +186,6 @@
             return None
         sums = list(self.unheld(upstream_id))
         for attempt in self._tasks.on_upstream(upstream_id):
-            if not attempt.state.standing:
+            if not attempt.state.is_service:
                 sums = [a + b for a, b in zip(sums, attempt.reservation.amount, strict=True)]
         return tuple(max(part, 0) for part in sums)  # type: ignore[return-value]
