--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from hornbeamramp.deadlines import Deadlines
-from hornbeamramp.decisions import Ended, Stop, TaskEnd
+from hornbeamramp.decisions import EndEffect, Stop, TaskEnd
 from hornbeamramp.dispatcher import Dispatcher
 from hornbeamramp.estimates import Estimates
 from hornbeamramp.ids import JobId
@@ -50,7 +50,7 @@
         self._deadlines = deadlines
         self.at_fault: deque[JobId] = deque(maxlen=100)
 
-    def end(self, attempt: Attempt, end: TaskEnd, usage: Resources | None, now: float) -> Ended:
+    def end(self, attempt: Attempt, end: TaskEnd, usage: Resources | None, now: float) -> EndEffect:
         """Frees the attempt's capacity and returns what follows for its job."""
         state = attempt.state
         self._learn(attempt, end, usage, now)
@@ -59,18 +59,18 @@
             state.ran = True
         if state.cancelled or state.failed:
             if not state.over:
-                return Ended.IGNORED
+                return EndEffect.IGNORED
             self.forget(state)
-            return Ended.JOB_CANCELLED if state.cancelled else Ended.IGNORED
+            return EndEffect.JOB_CANCELLED if state.cancelled else EndEffect.IGNORED
         faulty = self._note_health(attempt, end, now)
         if state.standing and state.job.idempotent:
             return self._retry(attempt, end, now)
         if end is TaskEnd.SUCCEEDED:
             if state.over:
                 self.forget(state)
-                return Ended.JOB_DONE
+                return EndEffect.JOB_DONE
             self._gang_may_start(state)
-            return Ended.TASK_DONE
+            return EndEffect.TASK_DONE
         if end is TaskEnd.NOT_STARTED:
             return self._retry(attempt, end, now)
         if faulty or not state.job.idempotent:
@@ -81,17 +81,17 @@
                 return self._fail(state, faulty)
         return self._retry(attempt, end, now)
 
-    def settle(self, state: JobState, missing: list[int]) -> Ended:
+    def settle(self, state: JobState, missing: list[int]) -> EndEffect:
         """Queues the missing tasks of an adopted job, or ends the job if that is not safe."""
         if missing and state.job.idempotent:
             self._dispatcher.requeue(state, missing)
-            return Ended.RETRY
+            return EndEffect.RETRY
         if missing:
             return self._fail(state, faulty=False)
         if state.over:
             self.forget(state)
-            return Ended.JOB_DONE
-        return Ended.TASK_DONE
+            return EndEffect.JOB_DONE
+        return EndEffect.TASK_DONE
 
     def free(self, attempt: Attempt, now: float) -> None:
         """Frees what an attempt holds and forgets it; without effect the second time."""
@@ -178,7 +178,7 @@
             self._pool.capacity_changed(released)
         return True
 
-    def _retry(self, attempt: Attempt, end: TaskEnd, now: float) -> Ended:
+    def _retry(self, attempt: Attempt, end: TaskEnd, now: float) -> EndEffect:
         state = attempt.state
         if isinstance(state.job, GangJob) and state.job.idempotent:
             # The tasks of a gang run at the same time or not at all.
@@ -190,7 +190,7 @@
                 elif not sibling.stopping:
                     self._dispatcher.order(Stop(sibling.id, sibling.upstream_id), sibling)
         self._requeue(attempt, end, now)
-        return Ended.RETRY
+        return EndEffect.RETRY
 
     def _requeue(self, attempt: Attempt, end: TaskEnd, now: float) -> None:
         state = attempt.state
@@ -210,7 +210,7 @@
         if isinstance(state.job, GangJob) and state.pending:
             self._dispatcher.requeue(state, [])
 
-    def _fail(self, state: JobState, faulty: bool) -> Ended:
+    def _fail(self, state: JobState, faulty: bool) -> EndEffect:
         if faulty:
             self.at_fault.append(state.job.id)
         state.failed = True
@@ -222,4 +222,4 @@
                 self._dispatcher.order(Stop(attempt.id, attempt.upstream_id), attempt)
         if not state.live:
             self.forget(state)
-        return Ended.JOB_FAILED
+        return EndEffect.JOB_FAILED
--- a/hornbeamramp/bench/driver.py
+++ b/hornbeamramp/bench/driver.py
@@ -13,7 +13,7 @@
 from hornbeamramp.bench.tally import ClassTally, Observations
 from hornbeamramp.bench.workload import SECOND, Work
 from hornbeamramp.clock import ManualClock
-from hornbeamramp.decisions import Checkpoint, Decision, Ended, Start, Stop, TaskEnd, Throttle
+from hornbeamramp.decisions import Checkpoint, Decision, EndEffect, Start, Stop, TaskEnd, Throttle
 from hornbeamramp.ids import AttemptId, JobId, UpstreamId
 from hornbeamramp.states import JobKind
 from hornbeamramp.upstreams.base import UpstreamShape
@@ -330,13 +330,13 @@
         if end is TaskEnd.SUCCEEDED:
             self._completed_tasks += 1
         follows = self.scheduler.ended(attempt.id, end, attempt.usage())
-        if follows is Ended.JOB_DONE:
+        if follows is EndEffect.JOB_DONE:
             self._finish(work)
             if counted:
                 tally.completed += 1
                 late = self.now_us - work.arrival_us > work.job_class.deadline_ms * 1000
                 tally.on_time += not (late and work.job_class.deadline_ms)
-        elif follows is Ended.JOB_FAILED:
+        elif follows is EndEffect.JOB_FAILED:
             self._finish(work)
             tally.failed += counted
             for other in list(self._attempts_by_job.get(job_id, {})):
--- a/hornbeamramp/decisions.py
+++ b/hornbeamramp/decisions.py
@@ -16,7 +16,7 @@
     "CancellationKind",
     "Checkpoint",
     "Decision",
-    "Ended",
+    "EndEffect",
     "Refusal",
     "SchedulerStatus",
     "Start",
@@ -96,7 +96,7 @@
     LOST = "lost"
 
 
-class Ended(Enum):
+class EndEffect(Enum):
     """What follows from the end of an attempt.
 
     `JOB_DONE`
--- a/hornbeamramp/job_lifecycle.py
+++ b/hornbeamramp/job_lifecycle.py
@@ -12,7 +12,7 @@
 from hornbeamramp.decisions import (
     Cancellation,
     CancellationKind,
-    Ended,
+    EndEffect,
     Refusal,
     Start,
     Stop,
@@ -209,13 +209,13 @@
         record.upstream_by_attempt.pop(attempt_id, None)
         if result is not None:
             record.result_by_task[task_of(attempt_id)] = result
-        elif ended is not Ended.TASK_DONE:
+        elif ended is not EndEffect.TASK_DONE:
             record.running_tasks.discard(task_of(attempt_id))
         if end is TaskEnd.LOST:
             record.lost = True
             record.uncertain = not record.job.idempotent
             self._lost_jobs.add(record.job.id)
-        if record.intent_failed and ended is Ended.RETRY:
+        if record.intent_failed and ended is EndEffect.RETRY:
             self._refuse_without_store(record)
         else:
             self._conclude(record, ended)
@@ -238,17 +238,17 @@
             )
             self._finish(record, outcome)
 
-    def _conclude(self, record: JobRecord, ended: Ended) -> None:
+    def _conclude(self, record: JobRecord, ended: EndEffect) -> None:
         job = record.job
-        if ended is Ended.JOB_DONE:
+        if ended is EndEffect.JOB_DONE:
             results = [record.result_by_task[task] for task in sorted(record.result_by_task)]
             self._finish(record, Completed(job.id, results, self._data_centre))
-        elif ended is Ended.JOB_FAILED:
+        elif ended is EndEffect.JOB_FAILED:
             if record.uncertain:
                 self._finish(record, Unknown(job.id, "an attempt was lost at its upstream"))
             else:
                 self._finish(record, Completed(job.id, [], self._data_centre, failed=True))
-        elif ended is Ended.JOB_CANCELLED:
+        elif ended is EndEffect.JOB_CANCELLED:
             self._finish(record, Completed(job.id, [], self._data_centre, failed=True))
 
     def _finish(self, record: JobRecord, outcome: Outcome) -> None:
@@ -272,7 +272,7 @@
     def _settle(self, record: JobRecord) -> None:
         """Queues or ends an adopted job whose other tasks no upstream runs."""
         ended = self._scheduler.settle(record.job.id, record.result_by_task.keys())
-        if ended is Ended.JOB_FAILED:
+        if ended is EndEffect.JOB_FAILED:
             record.uncertain = True
         self._conclude(record, ended)
 
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -16,7 +16,7 @@
     Cancellation,
     CancellationKind,
     Decision,
-    Ended,
+    EndEffect,
     Refusal,
     SchedulerStatus,
     Stop,
@@ -207,7 +207,7 @@
         admitted = self._admission.admit(job, state.flow, self._expect(job), parked)
         return admitted.err_value if isinstance(admitted, Err) else None
 
-    def settle(self, job_id: JobId, done: Collection[int]) -> Ended:
+    def settle(self, job_id: JobId, done: Collection[int]) -> EndEffect:
         """Decides about the tasks of an adopted job that no upstream runs any more.
 
         To be called once the upstreams have been listed. ``done`` are the tasks whose answers are
@@ -216,7 +216,7 @@
         """
         state = self._tasks.job_by_id.get(job_id)
         if state is None or not state.adopted:
-            return Ended.IGNORED
+            return EndEffect.IGNORED
         state.adopted = False
         live = state.live or {}
         missing = [t for t in range(state.job.tasks) if t not in live and t not in done]
@@ -288,7 +288,9 @@
         attempt.limited_to = None
         self._ends.recount(attempt, self._now())
 
-    def ended(self, attempt_id: AttemptId, end: TaskEnd, usage: Resources | None = None) -> Ended:
+    def ended(
+        self, attempt_id: AttemptId, end: TaskEnd, usage: Resources | None = None
+    ) -> EndEffect:
         """Reports the end of an attempt, frees its capacity and tells what follows for its job.
 
         `usage`
@@ -298,7 +300,7 @@
         attempt = self._tasks.attempt_by_id.get(attempt_id)
         if attempt is None:
             self._release_unknown(attempt_id)
-            return Ended.IGNORED
+            return EndEffect.IGNORED
         return self._ends.end(attempt, end, usage, now)
 
     def report_usage(self, attempt_id: AttemptId, usage: Resources) -> None:
--- a/tests/bench/conftest.py
+++ b/tests/bench/conftest.py
@@ -10,7 +10,7 @@
 from hornbeamramp.bench.driver import Driver
 from hornbeamramp.bench.workload import SECOND, Work, fleet, steady
 from hornbeamramp.clock import ManualClock
-from hornbeamramp.decisions import Admitted, Cancellation, CancellationKind, Ended, Start
+from hornbeamramp.decisions import Admitted, Cancellation, CancellationKind, EndEffect, Start
 from hornbeamramp.ids import AttemptId
 
 
@@ -34,7 +34,7 @@
         pass
 
     def ended(self, attempt_id, end, usage):
-        return Ended.RETRY
+        return EndEffect.RETRY
 
     def report_usage(self, attempt_id, usage) -> None:
         pass
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -1,6 +1,6 @@
 """Tests of gangs: all at once or not at all, reservations and backfill."""
 
-from hornbeamramp.decisions import Ended, Stop, TaskEnd
+from hornbeamramp.decisions import EndEffect, Stop, TaskEnd
 from hornbeamramp.jobs import GangJob
 from hornbeamramp.resources import Resources
 from hornbeamramp.states import Band
@@ -63,7 +63,7 @@
     scheduler = make_scheduler(clock, 2)
     scheduler.submit(make_job("gang", GangJob, tasks=3))
     first, *rest = starts(scheduler.decide(10))
-    assert finish(scheduler, first, TaskEnd.FAILED) is Ended.RETRY
+    assert finish(scheduler, first, TaskEnd.FAILED) is EndEffect.RETRY
     actions = scheduler.decide(10)
     assert all(isinstance(action, Stop) for action in actions)
     assert {action.attempt_id for action in actions} == {start.attempt_id for start in rest}
@@ -77,7 +77,7 @@
     scheduler = make_scheduler(clock, 2)
     scheduler.submit(make_job("gang", GangJob, tasks=3, idempotent=False))
     first, *_ = starts(scheduler.decide(10))
-    assert finish(scheduler, first, TaskEnd.NOT_STARTED) is Ended.RETRY
+    assert finish(scheduler, first, TaskEnd.NOT_STARTED) is EndEffect.RETRY
     assert [start.task for start in scheduler.decide(10)] == [first.task]
 
 
--- a/tests/test_preemption.py
+++ b/tests/test_preemption.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from hornbeamramp.decisions import Checkpoint, Ended, Stop, TaskEnd, Throttle
+from hornbeamramp.decisions import Checkpoint, EndEffect, Stop, TaskEnd, Throttle
 from hornbeamramp.jobs import GangJob
 from hornbeamramp.resources import Resources
 from hornbeamramp.states import Band
@@ -36,7 +36,7 @@
     assert scheduler.decide(10) == []
     # Other work does not get the room either, however the end comes about.
     scheduler.submit(make_job("other", band=Band.SERVICE))
-    assert finish(scheduler, placed[action.attempt_id], TaskEnd.STOPPED) is Ended.RETRY
+    assert finish(scheduler, placed[action.attempt_id], TaskEnd.STOPPED) is EndEffect.RETRY
     assert [start.job.id for start in starts(scheduler.decide(10))] == ["urgent"]
 
 
@@ -144,5 +144,5 @@
     (start,) = starts(scheduler.decide(100))
     assert start.job.id == "urgent"
     assert scheduler.expire() == []
-    assert finish(scheduler, start) is Ended.TASK_DONE
+    assert finish(scheduler, start) is EndEffect.TASK_DONE
     assert {start.job.id for start in starts(scheduler.decide(100))} == {"urgent"}
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,6 +1,6 @@
 """Tests of the retry budget and of delayed retries."""
 
-from hornbeamramp.decisions import Ended, TaskEnd
+from hornbeamramp.decisions import EndEffect, TaskEnd
 from hornbeamramp.retries import RetryBudget
 from tests.builders import advance, finish, make_job, make_scheduler, starts
 
@@ -19,7 +19,7 @@
     for i in range(150):
         scheduler.submit(make_job(i))
     for start in starts(scheduler.decide(1000)):
-        assert finish(scheduler, start, TaskEnd.LOST) is Ended.RETRY
+        assert finish(scheduler, start, TaskEnd.LOST) is EndEffect.RETRY
     first = len(starts(scheduler.decide(1000)))
     assert 100 <= first < 140
     for _ in range(150):
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -5,7 +5,7 @@
 import pytest
 from result import Err, Ok
 
-from hornbeamramp.decisions import CancellationKind, Ended, Start, TaskEnd
+from hornbeamramp.decisions import CancellationKind, EndEffect, Start, TaskEnd
 from hornbeamramp.ids import Epoch, JobId, PoolName, RackId, RouteName, TeamId, UpstreamId
 from hornbeamramp.jobs import BatchJob, GangJob, ServiceJob
 from hornbeamramp.resources import Resources
@@ -38,8 +38,8 @@
     (start,) = scheduler.decide(10)
     assert isinstance(start, Start)
     scheduler.started(start.attempt_id)
-    assert scheduler.ended(start.attempt_id, TaskEnd.SUCCEEDED, None) is Ended.JOB_DONE
-    assert scheduler.ended(start.attempt_id, TaskEnd.SUCCEEDED, None) is Ended.IGNORED
+    assert scheduler.ended(start.attempt_id, TaskEnd.SUCCEEDED, None) is EndEffect.JOB_DONE
+    assert scheduler.ended(start.attempt_id, TaskEnd.SUCCEEDED, None) is EndEffect.IGNORED
     assert scheduler.snapshot().running == 0
 
 
@@ -53,13 +53,13 @@
 def test_service_task_is_queued_again_until_cancelled(scheduler):
     scheduler.submit(job(1, ServiceJob))
     (start,) = scheduler.decide(10)
-    assert scheduler.ended(start.attempt_id, TaskEnd.FAILED, None) is Ended.RETRY
+    assert scheduler.ended(start.attempt_id, TaskEnd.FAILED, None) is EndEffect.RETRY
     (again,) = scheduler.decide(10)
     assert again.attempt_id != start.attempt_id
     cancellation = scheduler.cancel(JobId("j1"))
     assert cancellation.kind is CancellationKind.RUNNING
     assert [s.attempt_id for s in cancellation.stop] == [again.attempt_id]
-    assert scheduler.ended(again.attempt_id, TaskEnd.STOPPED, None) is Ended.JOB_CANCELLED
+    assert scheduler.ended(again.attempt_id, TaskEnd.STOPPED, None) is EndEffect.JOB_CANCELLED
 
 
 def test_job_that_never_fits_is_refused(scheduler):
@@ -71,7 +71,7 @@
 def test_lost_attempt_of_a_job_that_is_not_idempotent_fails_it(scheduler):
     scheduler.submit(job(1, idempotent=False))
     (start,) = scheduler.decide(10)
-    assert scheduler.ended(start.attempt_id, TaskEnd.LOST, None) is Ended.JOB_FAILED
+    assert scheduler.ended(start.attempt_id, TaskEnd.LOST, None) is EndEffect.JOB_FAILED
     assert scheduler.decide(10) == []
 
 
@@ -109,7 +109,7 @@
     scheduler = make_scheduler(clock, 4)
     scheduler.submit(make_job(1, idempotent=False))
     (start,) = starts(scheduler.decide(1))
-    assert finish(scheduler, start, end) is Ended.JOB_FAILED
+    assert finish(scheduler, start, end) is EndEffect.JOB_FAILED
     assert scheduler.decide(10) == []
 
 
@@ -117,7 +117,7 @@
     scheduler = make_scheduler(clock, 4)
     scheduler.submit(make_job(1, idempotent=False))
     (start,) = starts(scheduler.decide(1))
-    assert finish(scheduler, start, TaskEnd.NOT_STARTED) is Ended.RETRY
+    assert finish(scheduler, start, TaskEnd.NOT_STARTED) is EndEffect.RETRY
     (again,) = starts(scheduler.decide(1))
     assert again.attempt_id != start.attempt_id
     assert again.upstream_id != start.upstream_id
@@ -127,9 +127,9 @@
     scheduler = make_scheduler(clock, 4)
     scheduler.submit(make_job(1, tasks=2, idempotent=False))
     first, second = starts(scheduler.decide(2))
-    assert finish(scheduler, first, TaskEnd.FAILED) is Ended.JOB_FAILED
+    assert finish(scheduler, first, TaskEnd.FAILED) is EndEffect.JOB_FAILED
     assert [a.attempt_id for a in scheduler.decide(10)] == [second.attempt_id]
-    assert finish(scheduler, second, TaskEnd.STOPPED) is Ended.IGNORED
+    assert finish(scheduler, second, TaskEnd.STOPPED) is EndEffect.IGNORED
     assert scheduler.snapshot().running == 0
 
 
@@ -140,7 +140,7 @@
     for _ in range(3):
         (start,) = starts(scheduler.decide(1))
         ends.append((finish(scheduler, start, TaskEnd.FAILED), start.upstream_id))
-    assert [end for end, _ in ends] == [Ended.RETRY, Ended.RETRY, Ended.JOB_FAILED]
+    assert [end for end, _ in ends] == [EndEffect.RETRY, EndEffect.RETRY, EndEffect.JOB_FAILED]
     assert len({upstream_id for _, upstream_id in ends}) == 3
     status = scheduler.snapshot()
     assert status.at_fault == ["bad"]
@@ -155,7 +155,7 @@
         (start,) = starts(scheduler.decide(1))
         bad = bad or start.upstream_id
         end = TaskEnd.FAILED if start.upstream_id == bad else TaskEnd.SUCCEEDED
-        if finish(scheduler, start, end) is Ended.RETRY:
+        if finish(scheduler, start, end) is EndEffect.RETRY:
             (again,) = starts(scheduler.decide(1))
             finish(scheduler, again)
     states = {u.id: u.state for u in scheduler.snapshot().upstreams}
@@ -187,7 +187,7 @@
     scheduler.submit(make_job(1))
     (start,) = starts(scheduler.decide(1))
     assert scheduler.remove_upstream("fast") == [start.attempt_id]
-    assert finish(scheduler, start, TaskEnd.LOST) is Ended.RETRY
+    assert finish(scheduler, start, TaskEnd.LOST) is EndEffect.RETRY
     (again,) = starts(scheduler.decide(1))
     assert again.upstream_id == "slow"
 
@@ -209,8 +209,8 @@
     advance(clock, 20.0)
     scheduler.decide(1)
     assert scheduler.snapshot().upstreams[0].free.slots == 3
-    assert scheduler.settle("1", set()) is Ended.TASK_DONE
-    assert scheduler.ended("1.0.1.1", TaskEnd.SUCCEEDED, None) is Ended.JOB_DONE
+    assert scheduler.settle("1", set()) is EndEffect.TASK_DONE
+    assert scheduler.ended("1.0.1.1", TaskEnd.SUCCEEDED, None) is EndEffect.JOB_DONE
     assert scheduler.snapshot().upstreams[0].free.slots == 4
 
 
@@ -219,7 +219,7 @@
     job = make_job(1, tasks=3)
     scheduler.adopt(job, "1.1.1.1", "u0")
     assert scheduler.decide(10) == []
-    assert scheduler.settle("1", {2}) is Ended.RETRY
+    assert scheduler.settle("1", {2}) is EndEffect.RETRY
     assert sorted(start.task for start in starts(scheduler.decide(10))) == [0]
 
 
@@ -227,8 +227,8 @@
     """Guards against a job that is reported as done with the answers of some of its tasks."""
     scheduler = make_scheduler(clock, 1, epoch=Epoch(2))
     scheduler.adopt(make_job(1, tasks=2), "1.0.1.1", "u0")
-    assert scheduler.ended("1.0.1.1", TaskEnd.SUCCEEDED, None) is Ended.TASK_DONE
-    assert scheduler.settle("1", {0}) is Ended.RETRY
+    assert scheduler.ended("1.0.1.1", TaskEnd.SUCCEEDED, None) is EndEffect.TASK_DONE
+    assert scheduler.settle("1", {0}) is EndEffect.RETRY
     assert [start.task for start in starts(scheduler.decide(10))] == [1]
 
 
@@ -236,7 +236,7 @@
     """Guards against a second run of a settlement whose first run no upstream remembers."""
     scheduler = make_scheduler(clock, 1, epoch=Epoch(2))
     scheduler.adopt(make_job(1, tasks=2, idempotent=False), "1.0.1.1", "u0")
-    assert scheduler.settle("1", set()) is Ended.JOB_FAILED
+    assert scheduler.settle("1", set()) is EndEffect.JOB_FAILED
     assert starts(scheduler.decide(10)) == []
 
 
--- a/tests/test_scheduler_properties.py
+++ b/tests/test_scheduler_properties.py
@@ -8,7 +8,7 @@
 from result import Ok
 
 from hornbeamramp.clock import ManualClock
-from hornbeamramp.decisions import Checkpoint, Ended, Start, Stop, TaskEnd, Throttle
+from hornbeamramp.decisions import Checkpoint, EndEffect, Start, Stop, TaskEnd, Throttle
 from hornbeamramp.ids import AttemptId, JobId, PoolName, RackId, RouteName, TeamId, UpstreamId
 from hornbeamramp.jobs import BatchJob, GangJob, ServiceJob
 from hornbeamramp.resources import Resources
@@ -132,12 +132,12 @@
         action = self.live.pop(attempt_id)
         self.live_tasks.discard((action.job.id, action.task))
         ended = self.scheduler.ended(attempt_id, end, usage)
-        if ended in (Ended.JOB_DONE, Ended.JOB_FAILED, Ended.JOB_CANCELLED):
+        if ended in (EndEffect.JOB_DONE, EndEffect.JOB_FAILED, EndEffect.JOB_CANCELLED):
             self.finished.add(action.job.id)
         ran = end is not TaskEnd.NOT_STARTED
-        retried = ended is Ended.RETRY and ran and not isinstance(action.job, ServiceJob)
+        retried = ended is EndEffect.RETRY and ran and not isinstance(action.job, ServiceJob)
         assert action.job.idempotent or not retried
-        assert self.scheduler.ended(attempt_id, end, usage) is Ended.IGNORED
+        assert self.scheduler.ended(attempt_id, end, usage) is EndEffect.IGNORED
 
     def usage(self, index, usage):
         if self.live:
@@ -165,7 +165,7 @@
             action = self.live.pop(attempt_id)
             self.live_tasks.discard((action.job.id, action.task))
             ended = self.scheduler.ended(attempt_id, TaskEnd.LOST, None)
-            if ended in (Ended.JOB_DONE, Ended.JOB_FAILED, Ended.JOB_CANCELLED):
+            if ended in (EndEffect.JOB_DONE, EndEffect.JOB_FAILED, EndEffect.JOB_CANCELLED):
                 self.finished.add(action.job.id)
 
     def unknown(self, i, size, duration):
