--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -16,7 +16,7 @@
 from hornbeamramp.policies.base import PlacementPolicy, PlacementRequest
 from hornbeamramp.policies.gang import times_it_fits
 from hornbeamramp.preemption import FailedSearches, plan_tasks
-from hornbeamramp.reservations import expected_room
+from hornbeamramp.reservations import predict_placements
 from hornbeamramp.resources import Resources
 from hornbeamramp.retries import DelayedRetries
 from hornbeamramp.shares import ShareBook
@@ -391,7 +391,7 @@
         for hold in self._holds.all:
             if hold.gang and (hold.state.job.band == Band.URGENT) == urgent:
                 return False
-        slots = expected_room(self._pool, self._tasks, state, count, now)
+        slots = predict_placements(self._pool, self._tasks, state, count, now)
         if len(slots) < count:
             return False
         slots = slots[:count]
--- a/hornbeamramp/reservations.py
+++ b/hornbeamramp/reservations.py
@@ -7,13 +7,13 @@
 from hornbeamramp.task_table import JobState, TaskTable
 from hornbeamramp.upstream_pool import UpstreamPool
 
-__all__ = ["expected_room"]
+__all__ = ["predict_placements"]
 
 # Upstreams compared for a gang's reservation, beside a few for each of its tasks.
 RESERVATION_CANDIDATES = 64
 
 
-def expected_room(
+def predict_placements(
     pool: UpstreamPool, tasks: TaskTable, state: JobState, count: int, now: float
 ) -> list[tuple[float, int, UpstreamId]]:
     """Returns when and on which upstream tasks of the job will fit, earliest first.
