--- a/hornbeamramp/admission.py
+++ b/hornbeamramp/admission.py
@@ -11,7 +11,7 @@
 from hornbeamramp.job_queue import JobQueue
 from hornbeamramp.jobs import GangJob, Job, ServiceJob
 from hornbeamramp.ledger import Vector
-from hornbeamramp.policies.gang import times_it_fits
+from hornbeamramp.policies.gang import fit_count
 from hornbeamramp.shares import ShareBook
 from hornbeamramp.states import Band, RefusalReason
 
@@ -64,13 +64,13 @@
         if amount == declared:
             return amount
         if not self.fits(amount):
-            shapes = [shape for shape in self._shapes if times_it_fits(declared, shape)]
+            shapes = [shape for shape in self._shapes if fit_count(declared, shape)]
             if not shapes:
                 return declared
             amount = tuple(map(min, amount, max(shapes)))  # type: ignore[assignment]
         gang = isinstance(job, GangJob)
         limit = flow.account.team_use.limit
-        if limit is not None and times_it_fits(amount, limit) < (job.tasks if gang else 1):
+        if limit is not None and fit_count(amount, limit) < (job.tasks if gang else 1):
             return declared
         if gang and not self.fits_gang(amount, job.tasks):
             return declared
@@ -82,13 +82,13 @@
         if fits is None:
             if len(self._fits_by_amount) > 10_000:
                 self._fits_by_amount.clear()
-            fits = any(times_it_fits(amount, shape) for shape in self._shapes)
+            fits = any(fit_count(amount, shape) for shape in self._shapes)
             self._fits_by_amount[amount] = fits
         return fits
 
     def fits_gang(self, amount: Vector, tasks: int) -> bool:
         """Tells whether so many tasks fit into the empty pool at once."""
-        room = sum(times_it_fits(amount, s) * count for s, count in self._shapes.items())
+        room = sum(fit_count(amount, s) * count for s, count in self._shapes.items())
         return room >= tasks
 
     def admit(
@@ -154,7 +154,7 @@
             detail = f"{job.tasks} tasks at once do not fit into the empty pool"
             return Refusal(RefusalReason.NEVER_RUNS, detail)
         limit = flow.account.team_use.limit
-        if limit is not None and times_it_fits(amount, limit) < (job.tasks if gang else 1):
+        if limit is not None and fit_count(amount, limit) < (job.tasks if gang else 1):
             detail = f"more at once than the limit of team {job.team}"
             return Refusal(RefusalReason.QUOTA, detail)
         return None
--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -14,7 +14,7 @@
 from hornbeamramp.job_queue import JobQueue
 from hornbeamramp.jobs import GangJob, ServiceJob
 from hornbeamramp.policies.base import PlacementPolicy, PlacementRequest
-from hornbeamramp.policies.gang import times_it_fits
+from hornbeamramp.policies.gang import fit_count
 from hornbeamramp.preemption import FailedSearches, plan_tasks
 from hornbeamramp.reservations import predict_placements
 from hornbeamramp.resources import Resources
@@ -299,7 +299,7 @@
             return False
         if not self._pool.may_probe(upstream_id):
             return False
-        if not times_it_fits(state.amount, self._ledger.free(upstream_id)):
+        if not fit_count(state.amount, self._ledger.free(upstream_id)):
             return False
         for attempt in self._start_all(state, self._take_tasks(state, 1), [upstream_id], now):
             attempt.probe = True
@@ -322,7 +322,7 @@
                 speed = self._index.shape_by_id[upstream_id].speed
                 if now + state.run / speed > hold.start_at:
                     continue
-                if times_it_fits(state.amount, self._ledger.free(upstream_id)):
+                if fit_count(state.amount, self._ledger.free(upstream_id)):
                     return [upstream_id]
         return None
 
--- a/hornbeamramp/holds.py
+++ b/hornbeamramp/holds.py
@@ -4,7 +4,7 @@
 
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.ledger import Ledger, Vector
-from hornbeamramp.policies.gang import times_it_fits
+from hornbeamramp.policies.gang import fit_count
 from hornbeamramp.task_table import JobState
 
 __all__ = ["Hold", "Holds"]
@@ -127,6 +127,6 @@
 
     def _has_room(self, hold: Hold) -> bool:
         return all(
-            times_it_fits(hold.amount, self._ledger.free(upstream_id)) >= count
+            fit_count(hold.amount, self._ledger.free(upstream_id)) >= count
             for upstream_id, count in hold.count_by_id.items()
         )
--- a/hornbeamramp/policies/gang.py
+++ b/hornbeamramp/policies/gang.py
@@ -5,10 +5,10 @@
 from hornbeamramp.ledger import Vector
 from hornbeamramp.policies.base import PlacementRequest
 
-__all__ = ["place", "times_it_fits"]
+__all__ = ["place", "fit_count"]
 
 
-def times_it_fits(amount: Vector, free: Vector) -> int:
+def fit_count(amount: Vector, free: Vector) -> int:
     """Returns how many tasks of size ``amount`` fit into ``free``; at most 2**31."""
     times = 1 << 31
     for need, have in zip(amount, free, strict=True):
@@ -23,7 +23,7 @@
     avoided: list[UpstreamId] = []
     chosen: list[UpstreamId] = []
     for upstream_id in view.candidates(amount):
-        times = times_it_fits(amount, view.available(upstream_id))
+        times = fit_count(amount, view.available(upstream_id))
         if upstream_id in request.avoid:
             avoided.extend([upstream_id] * min(times, request.count))
             continue
--- a/hornbeamramp/reservations.py
+++ b/hornbeamramp/reservations.py
@@ -3,7 +3,7 @@
 from math import inf
 
 from hornbeamramp.ids import UpstreamId
-from hornbeamramp.policies.gang import times_it_fits
+from hornbeamramp.policies.gang import fit_count
 from hornbeamramp.task_table import JobState, TaskTable
 from hornbeamramp.upstream_pool import UpstreamPool
 
@@ -44,7 +44,7 @@
             if at == inf:
                 break
             free = [a + b for a, b in zip(free, freed, strict=True)]
-            fits = min(times_it_fits(amount, tuple(free)), count)  # type: ignore[arg-type]
+            fits = min(fit_count(amount, tuple(free)), count)  # type: ignore[arg-type]
             for _ in range(known, fits):
                 slots.append((at, len(slots), upstream_id))
             known = max(known, fits)
