--- a/hornbeamramp/ledger.py
+++ b/hornbeamramp/ledger.py
@@ -79,7 +79,7 @@
     """Allocated capacity by upstream.
 
     The sum of reservations on an upstream never exceeds its capacity in any resource, except for
-    holds that recovery found on a machine that was already overfull (`hold`); free capacity is
+    holds that recovery found on a machine that was already overfull (`reserve_unchecked`); free capacity is
     then zero. ``on_change`` is called with the id of each upstream whose free capacity changed.
     """
 
@@ -142,7 +142,7 @@
         self._on_change(upstream_id)
         return Ok(reservation)
 
-    def hold(
+    def reserve_unchecked(
         self, upstream_id: UpstreamId, attempt_id: AttemptId, resources: Resources
     ) -> Result[Reservation, str]:
         """Records capacity that is already in use on the machine, even beyond its capacity."""
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -160,7 +160,7 @@
             self._hold(upstream_id, attempt_id, job.resources, float("inf"))
             return
         self._upstreams.know(upstream_id)
-        held = self._upstreams.ledger.hold(upstream_id, attempt_id, job.resources)
+        held = self._upstreams.ledger.reserve_unchecked(upstream_id, attempt_id, job.resources)
         reservation = held.unwrap()
         if epoch == self._epoch:
             state.numbers = (state.numbers or {}) | {task: number}
@@ -390,7 +390,7 @@
         if attempt_id in self._unknown or attempt_id in self._tasks.attempt_by_id:
             return
         self._upstreams.know(upstream_id)
-        held = self._upstreams.ledger.hold(upstream_id, attempt_id, resources)
+        held = self._upstreams.ledger.reserve_unchecked(upstream_id, attempt_id, resources)
         self._unknown[attempt_id] = held.unwrap()
         heapq.heappush(self._unknown_ends, (until, attempt_id))
 
--- a/tests/test_ledger.py
+++ b/tests/test_ledger.py
@@ -61,7 +61,7 @@
 
 
 def test_hold_beyond_the_capacity_leaves_zero_free(ledger):
-    held = ledger.hold(U, AttemptId("x"), Resources(9000, 9000, 9, 9, 9)).ok_value
+    held = ledger.reserve_unchecked(U, AttemptId("x"), Resources(9000, 9000, 9, 9, 9)).ok_value
     assert ledger.free(U) == (0, 0, 0, 0, 0)
     assert ledger.reserve(U, AttemptId("a"), Resources(0, 0, 0, 0, 1)).is_err()
     ledger.release(held)
