--- a/hornbeamramp/demand.py
+++ b/hornbeamramp/demand.py
@@ -61,7 +61,7 @@
         demand.mean += change
         demand.variance = variance
 
-    def recap(self, demand: Demand) -> None:
+    def update_capped(self, demand: Demand) -> None:
         # What a flow uses beyond its own claim must not hide that others are below theirs.
         capped = min(demand.share, demand.claim())
         self.capped += capped - demand.capped
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -143,10 +143,10 @@
         self._host.learn(host, weight)
         kind.mean += host.mean
         kind.variance += host.variance
-        self._host.recap(host)
+        self._host.update_capped(host)
         if flow.accelerators.share or flow.accelerators.mean:
             self._accelerators.learn(flow.accelerators, weight)
-            self._accelerators.recap(flow.accelerators)
+            self._accelerators.update_capped(flow.accelerators)
 
     def headroom(self, flow: Flow) -> float:
         """Returns the share of the pool that ``flow`` leaves free for others' learned demand."""
@@ -259,10 +259,10 @@
             used[4] += sign * amount[4]
         account.share = self._share(account.used)
         self._set_shares(flow)
-        self._host.recap(flow.host)
+        self._host.update_capped(flow.host)
         self._recap_excess(flow.account.band, flow.kind)
         if amount[2]:
-            self._accelerators.recap(flow.accelerators)
+            self._accelerators.update_capped(flow.accelerators)
 
     def note_stopping(self, flow: Flow, share: float) -> None:
         """Adds to the share of tasks that were ordered to end; negative once they have ended."""
