--- a/hornbeamramp/demand.py
+++ b/hornbeamramp/demand.py
@@ -67,7 +67,7 @@
         self.capped += capped - demand.capped
         demand.capped = capped
 
-    def without(self, demand: Demand) -> float:
+    def demand_of_others(self, demand: Demand) -> float:
         """Returns the demand of all other flows, up to ``MOST_HEADROOM``."""
         return self.beyond(demand.mean, demand.variance)
 
@@ -79,7 +79,7 @@
 
     def headroom(self, demand: Demand) -> float:
         """Returns the share of the pool to leave free for the other flows."""
-        return max(self.without(demand) - (self.capped - demand.capped), 0.0)
+        return max(self.demand_of_others(demand) - (self.capped - demand.capped), 0.0)
 
     def sum_up(self, demands: list[Demand]) -> None:
         self.mean = sum(demand.mean for demand in demands)
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -224,12 +224,12 @@
             return True
         count += flow.gang_tasks
         host = self._host_share(amount) * count
-        if host + self._host.without(flow.host) > 1.0 + TOLERANCE:
+        if host + self._host.demand_of_others(flow.host) > 1.0 + TOLERANCE:
             return False
         if not amount[2]:
             return True
         own = amount[2] * count / (self.total[2] or 1)
-        return own + self._accelerators.without(flow.accelerators) <= 1.0 + TOLERANCE
+        return own + self._accelerators.demand_of_others(flow.accelerators) <= 1.0 + TOLERANCE
 
     def prune(self, now: float) -> None:
         """Forgets flows without use, queue or noticeable demand. Removes rounding errors."""
