--- a/hornbeamramp/demand.py
+++ b/hornbeamramp/demand.py
@@ -69,9 +69,9 @@
 
     def demand_of_others(self, demand: Demand) -> float:
         """Returns the demand of all other flows, up to ``MOST_HEADROOM``."""
-        return self.beyond(demand.mean, demand.variance)
+        return self.demand_excluding(demand.mean, demand.variance)
 
-    def beyond(self, mean: float, variance: float) -> float:
+    def demand_excluding(self, mean: float, variance: float) -> float:
         """Returns the demand of all flows but those with these sums, up to ``MOST_HEADROOM``."""
         variance = self.variance - variance
         deviation = sqrt(variance) if variance > 0 else 0.0
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -209,7 +209,9 @@
         if not flow.share:
             return True
         kind = flow.kind
-        most = max(1.0 - STANDING_MARGIN * self._host.beyond(kind.mean, kind.variance), 0.0)
+        most = max(
+            1.0 - STANDING_MARGIN * self._host.demand_excluding(kind.mean, kind.variance), 0.0
+        )
         if kind.share + self.share_of(amount) > max(most, kind.claim()) + TOLERANCE:
             return False
         return self.leaves_headroom(flow, amount)
