--- a/hornbeamramp/demand.py
+++ b/hornbeamramp/demand.py
@@ -81,7 +81,7 @@
         """Returns the share of the pool to leave free for the other flows."""
         return max(self.demand_of_others(demand) - (self.capped - demand.capped), 0.0)
 
-    def sum_up(self, demands: list[Demand]) -> None:
+    def recompute(self, demands: list[Demand]) -> None:
         self.mean = sum(demand.mean for demand in demands)
         self.variance = sum(demand.variance for demand in demands)
         for demand in demands:
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -299,8 +299,8 @@
         for (band, _), kind in self._kind_by_key.items():
             self._recap_excess(band, kind)
         self._excess = sum(kind.excess for kind in self._kind_by_key.values())
-        self._host.sum_up([flow.host for flow in flows])
-        self._accelerators.sum_up([flow.accelerators for flow in flows])
+        self._host.recompute([flow.host for flow in flows])
+        self._accelerators.recompute([flow.accelerators for flow in flows])
 
     def _host_share(self, used: Vector | list[int]) -> float:
         t = self.total
