--- a/hornbeamramp/band_credit.py
+++ b/hornbeamramp/band_credit.py
@@ -29,7 +29,7 @@
             if lower > band and jobs_by_band[lower]:
                 self._credit[lower] = min(self._credit[lower] + share * work, MOST_CREDIT)
 
-    def may_be_owed(self, band: Band) -> bool:
+    def may_cover(self, band: Band) -> bool:
         """Tells whether the credit may cover the first job of the band."""
         return self._credit[band] > self._least[band]
 
--- a/hornbeamramp/job_queue.py
+++ b/hornbeamramp/job_queue.py
@@ -148,7 +148,7 @@
         if not self._fair:
             return best and (*best, False)
         for band in GUARANTEED_SHARE:
-            if (best is None or band > best[0].job.band) and self._credit.may_be_owed(band):
+            if (best is None or band > best[0].job.band) and self._credit.may_cover(band):
                 owed = self._owed(band, now, may_fit)
                 if owed is not None:
                     return (*owed, True)
