--- a/hornbeamramp/admission.py
+++ b/hornbeamramp/admission.py
@@ -54,7 +54,7 @@
         self._best_speed = best_speed
         self._fits_by_amount.clear()
 
-    def size(self, job: Job, flow: Flow, amount: Vector) -> Vector:
+    def feasible_size(self, job: Job, flow: Flow, amount: Vector) -> Vector:
         """Returns the estimated size, lowered where the job could not run with it.
 
         A task gets at most a machine that has room for its declared size. Where the estimate would
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -363,7 +363,7 @@
         state = JobState(job, flow, self._sequence, now)
         expectation = self._expect(job)
         state.run = expectation.run
-        state.amount = self._admission.size(job, flow, expectation.amount)
+        state.amount = self._admission.feasible_size(job, flow, expectation.amount)
         return state
 
     def _know(self, state: JobState) -> None:
