--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -170,7 +170,7 @@
             for i, have in enumerate(view.available(upstream_id)):
                 if have > most[i]:
                     most[i] = have
-        if self._holds.gangs:
+        if self._holds.gang_count:
             # Backfill may use what is free on held upstreams.
             for upstream_id in self._pool.touched:
                 for i, have in enumerate(self._ledger.free(upstream_id)):
@@ -195,7 +195,7 @@
             return True
         if self._health.quarantined:
             return True
-        return not state.standing and self._holds.gangs > 0
+        return not state.standing and self._holds.gang_count > 0
 
     def _serve(self, state: JobState, first_tier: bool, guaranteed: bool, now: float) -> bool:
         """Starts a task of the job or has the queue skip it until something changes.
@@ -309,7 +309,7 @@
     # Holds
 
     def _backfill(self, state: JobState, now: float) -> list[UpstreamId] | None:
-        if not self._holds.gangs:
+        if not self._holds.gang_count:
             return None
         tried = 0
         for hold in self._holds.all:
--- a/hornbeamramp/holds.py
+++ b/hornbeamramp/holds.py
@@ -54,7 +54,7 @@
 class Holds:
     """Holds by upstream. An upstream's held amount is not free for other work.
 
-    `gangs`
+    `gang_count`
         Number of holds that are reservations of gangs.
     """
 
@@ -63,11 +63,11 @@
         self._by_upstream: dict[UpstreamId, list[Hold]] = {}
         self._changed: dict[Hold, None] = {}
         self.all: dict[Hold, None] = {}
-        self.gangs = 0
+        self.gang_count = 0
 
     def add(self, hold: Hold) -> None:
         self.all[hold] = None
-        self.gangs += hold.gang
+        self.gang_count += hold.gang
         if hold.state.holds is None:
             hold.state.holds = []
         hold.state.holds.append(hold)
@@ -81,7 +81,7 @@
             return
         hold.active = False
         del self.all[hold]
-        self.gangs -= hold.gang
+        self.gang_count -= hold.gang
         self._changed.pop(hold, None)
         if hold.state.holds is not None:
             hold.state.holds.remove(hold)
