--- a/hornbeamramp/holds.py
+++ b/hornbeamramp/holds.py
@@ -1,4 +1,4 @@
-"""Capacity kept for tasks that can't start yet: gangs' reservations and room being preempted."""
+"""Capacity held for tasks that can't start yet: gang reservations and capacity being preempted."""
 
 from collections.abc import Iterable
 
@@ -11,12 +11,12 @@
 
 
 class Hold:
-    """Tasks of one job that wait for room on chosen upstreams. Times are seconds of boot time.
+    """Tasks of one job that wait for capacity on chosen upstreams. Times are seconds of boot time.
 
     `start_at`
-        When the tasks are expected to start; other work that ends before may use the room.
+        When the tasks are expected to start; work that ends before then may use the capacity.
     `expires_at`
-        When the hold is given up.
+        When the hold is released although its tasks have not started.
     """
 
     __slots__ = (
@@ -76,7 +76,7 @@
         self._changed[hold] = None
 
     def remove(self, hold: Hold) -> None:
-        """Gives up a hold; without effect the second time."""
+        """Removes a hold; without effect if it was removed before."""
         if not hold.active:
             return
         hold.active = False
@@ -108,24 +108,24 @@
         return tuple(sums)  # type: ignore[return-value]
 
     def touch(self, upstream_id: UpstreamId) -> None:
-        """Notes that the free capacity of an upstream changed."""
+        """Has `next_ready` check the holds on an upstream whose free capacity changed."""
         for hold in self._by_upstream.get(upstream_id, ()):
             self._changed[hold] = None
 
     def next_ready(self) -> Hold | None:
-        """Returns a hold for which there is room now, if any."""
+        """Returns a hold whose tasks fit now, or ``None``; checks only holds marked as changed."""
         while self._changed:
             hold = next(iter(self._changed))
             del self._changed[hold]
-            if hold.active and self._has_room(hold):
+            if hold.active and self._fits(hold):
                 return hold
         return None
 
     def expired(self, now: float) -> list[Hold]:
-        """Returns the holds whose time is over."""
+        """Returns the holds that have expired by ``now``."""
         return [hold for hold in self.all if hold.expires_at <= now]
 
-    def _has_room(self, hold: Hold) -> bool:
+    def _fits(self, hold: Hold) -> bool:
         return all(
             fit_count(hold.amount, self._ledger.free(upstream_id)) >= count
             for upstream_id, count in hold.count_by_id.items()
--- a/hornbeamramp/ledger.py
+++ b/hornbeamramp/ledger.py
@@ -1,4 +1,4 @@
-"""Ledger of allocated capacity: the only place where capacity of upstreams is handed out."""
+"""Ledger of allocated capacity: all capacity of upstreams is allocated here."""
 
 from collections.abc import Callable, Iterator
 
@@ -12,25 +12,25 @@
 Vector = tuple[int, int, int, int, int]
 """Amounts in the order of `Resources.as_tuple`."""
 
-_KEY = object()
+_CONSTRUCTOR_TOKEN = object()
 
 
 class Reservation:
-    """Capacity held for one attempt on one upstream. Only a `Ledger` creates reservations.
+    """Capacity allocated to one attempt on one upstream. Only a `Ledger` creates reservations.
 
     `resources`
-        Amount held now.
+        Amount allocated now.
     `wanted`
-        Measured use, if it is more than could be granted; otherwise the same as ``resources``.
+        Measured use if it exceeds what could be allocated, otherwise the same as ``resources``.
     """
 
     __slots__ = ("_active", "_amount", "_wanted", "attempt_id", "upstream_id")
 
     def __init__(
-        self, key: object, upstream_id: UpstreamId, attempt_id: AttemptId, amount: Vector
+        self, token: object, upstream_id: UpstreamId, attempt_id: AttemptId, amount: Vector
     ) -> None:
-        if key is not _KEY:
-            raise TypeError("reservations are created by Ledger.reserve only")
+        if token is not _CONSTRUCTOR_TOKEN:
+            raise TypeError("reservations can only be created by a Ledger")
         self.upstream_id = upstream_id
         self.attempt_id = attempt_id
         self._amount = amount
@@ -51,11 +51,11 @@
 
     @property
     def active(self) -> bool:
-        """Tells whether the reservation still holds capacity."""
+        """Whether the reservation still takes up capacity."""
         return self._active
 
 
-class _Account:
+class _Allocation:
     __slots__ = ("by_attempt", "capacity", "total", "unmet")
 
     def __init__(self, capacity: Vector) -> None:
@@ -78,55 +78,59 @@
 class Ledger:
     """Allocated capacity by upstream.
 
-    The sum of reservations on an upstream never exceeds its capacity in any resource, except for
-    holds that recovery found on a machine that was already overfull (`reserve_unchecked`); free capacity is
-    then zero. ``on_change`` is called with the id of each upstream whose free capacity changed.
+    The sum of reservations on an upstream never exceeds its capacity in any resource, except where
+    recovery finds a machine already overcommitted (`reserve_unchecked`); its free capacity is then
+    zero. ``on_change`` is called with the id of each upstream whose free capacity changed.
     """
 
     def __init__(self, on_change: Callable[[UpstreamId], None] | None = None) -> None:
-        self._account_by_id: dict[UpstreamId, _Account] = {}
+        self._allocation_by_id: dict[UpstreamId, _Allocation] = {}
         self._on_change = on_change or (lambda _: None)
 
     def __contains__(self, upstream_id: UpstreamId) -> bool:
-        return upstream_id in self._account_by_id
+        return upstream_id in self._allocation_by_id
 
     def set_capacity(self, upstream_id: UpstreamId, capacity: Resources) -> None:
         """Adds an upstream or changes the capacity of a known one."""
-        account = self._account_by_id.get(upstream_id)
-        if account is None:
-            self._account_by_id[upstream_id] = _Account(capacity.as_tuple())
+        allocation = self._allocation_by_id.get(upstream_id)
+        if allocation is None:
+            self._allocation_by_id[upstream_id] = _Allocation(capacity.as_tuple())
         else:
-            account.capacity = capacity.as_tuple()
-            self._regrow(account)
+            allocation.capacity = capacity.as_tuple()
+            self._grant_unmet(allocation)
         self._on_change(upstream_id)
 
     def remove_upstream(self, upstream_id: UpstreamId) -> list[AttemptId]:
         """Removes an upstream with all its reservations and returns their attempts."""
-        account = self._account_by_id.pop(upstream_id, None)
-        if account is None:
+        allocation = self._allocation_by_id.pop(upstream_id, None)
+        if allocation is None:
             return []
-        for reservation in account.by_attempt.values():
+        for reservation in allocation.by_attempt.values():
             reservation._active = False
-        return list(account.by_attempt)
+        return list(allocation.by_attempt)
 
     def reserve(
         self, upstream_id: UpstreamId, attempt_id: AttemptId, resources: Resources
     ) -> Result[Reservation, str]:
-        """Reserves capacity, or returns why it can't: unknown upstream, attempt held, no room."""
+        """Reserves capacity for an attempt.
+
+        Returns an error text if the upstream is unknown, the attempt already has a reservation on
+        it, or there is not enough free capacity.
+        """
         return self.reserve_amount(upstream_id, attempt_id, resources.as_tuple())
 
     def reserve_amount(
         self, upstream_id: UpstreamId, attempt_id: AttemptId, amount: Vector
     ) -> Result[Reservation, str]:
-        """Like `reserve`, with the amounts as a tuple."""
-        account = self._account_by_id.get(upstream_id)
-        if account is None:
+        """Like `reserve`, but takes the amounts as a tuple."""
+        allocation = self._allocation_by_id.get(upstream_id)
+        if allocation is None:
             return Err(f"no such upstream: {upstream_id}")
-        if attempt_id in account.by_attempt:
+        if attempt_id in allocation.by_attempt:
             return Err(f"attempt already holds capacity: {attempt_id}")
         if min(amount) < 0:
             return Err(f"negative amount: {amount}")
-        c, t, a = account.capacity, account.total, amount
+        c, t, a = allocation.capacity, allocation.total, amount
         total = (t[0] + a[0], t[1] + a[1], t[2] + a[2], t[3] + a[3], t[4] + a[4])
         if (
             total[0] > c[0]
@@ -136,55 +140,55 @@
             or total[4] > c[4]
         ):
             return Err(f"no room on {upstream_id}")
-        account.total = total
-        reservation = Reservation(_KEY, upstream_id, attempt_id, amount)
-        account.by_attempt[attempt_id] = reservation
+        allocation.total = total
+        reservation = Reservation(_CONSTRUCTOR_TOKEN, upstream_id, attempt_id, amount)
+        allocation.by_attempt[attempt_id] = reservation
         self._on_change(upstream_id)
         return Ok(reservation)
 
     def reserve_unchecked(
         self, upstream_id: UpstreamId, attempt_id: AttemptId, resources: Resources
     ) -> Result[Reservation, str]:
-        """Records capacity that is already in use on the machine, even beyond its capacity."""
-        account = self._account_by_id.get(upstream_id)
-        if account is None:
+        """Reserves what an attempt already uses on the machine, even beyond its capacity."""
+        allocation = self._allocation_by_id.get(upstream_id)
+        if allocation is None:
             return Err(f"no such upstream: {upstream_id}")
-        if attempt_id in account.by_attempt:
+        if attempt_id in allocation.by_attempt:
             return Err(f"attempt already holds capacity: {attempt_id}")
-        reservation = Reservation(_KEY, upstream_id, attempt_id, resources.as_tuple())
-        account.by_attempt[attempt_id] = reservation
-        account.total = _add(account.total, reservation._amount)
+        reservation = Reservation(_CONSTRUCTOR_TOKEN, upstream_id, attempt_id, resources.as_tuple())
+        allocation.by_attempt[attempt_id] = reservation
+        allocation.total = _add(allocation.total, reservation._amount)
         self._on_change(upstream_id)
         return Ok(reservation)
 
     def release(self, reservation: Reservation) -> bool:
-        """Releases a reservation; false, without effect, if it was released before."""
+        """Releases a reservation. Returns false, without effect, if it was released before."""
         if not reservation._active:
             return False
         reservation._active = False
-        account = self._account_by_id[reservation.upstream_id]
-        del account.by_attempt[reservation.attempt_id]
-        account.unmet.pop(reservation.attempt_id, None)
-        account.total = _subtract(account.total, reservation._amount)
-        self._regrow(account)
+        allocation = self._allocation_by_id[reservation.upstream_id]
+        del allocation.by_attempt[reservation.attempt_id]
+        allocation.unmet.pop(reservation.attempt_id, None)
+        allocation.total = _subtract(allocation.total, reservation._amount)
+        self._grant_unmet(allocation)
         self._on_change(reservation.upstream_id)
         return True
 
     def grow(self, reservation: Reservation, measured: Resources) -> None:
         """Raises a reservation to the measured use.
 
-        Grants what is free and keeps the rest as unmet, to be granted before anything else when
-        capacity is released. Never lowers the reservation.
+        Allocates what is free and records the rest as unmet. Unmet demand is allocated before any
+        new reservation when capacity is released. Never lowers the reservation.
         """
         if not reservation._active:
             return
         wanted = _maximum(reservation._amount, measured.as_tuple())
         if wanted == reservation._amount and wanted == reservation._wanted:
             return
-        account = self._account_by_id[reservation.upstream_id]
+        allocation = self._allocation_by_id[reservation.upstream_id]
         reservation._wanted = wanted
-        account.unmet[reservation.attempt_id] = reservation
-        self._regrow(account)
+        allocation.unmet[reservation.attempt_id] = reservation
+        self._grant_unmet(allocation)
         self._on_change(reservation.upstream_id)
 
     def shrink(self, reservation: Reservation, resources: Resources) -> None:
@@ -194,50 +198,50 @@
         amount = _minimum(reservation._amount, resources.as_tuple())
         if amount == reservation._amount:
             return
-        account = self._account_by_id[reservation.upstream_id]
-        account.total = _add(_subtract(account.total, reservation._amount), amount)
+        allocation = self._allocation_by_id[reservation.upstream_id]
+        allocation.total = _add(_subtract(allocation.total, reservation._amount), amount)
         reservation._amount = reservation._wanted = amount
-        account.unmet.pop(reservation.attempt_id, None)
-        self._regrow(account)
+        allocation.unmet.pop(reservation.attempt_id, None)
+        self._grant_unmet(allocation)
         self._on_change(reservation.upstream_id)
 
     def free(self, upstream_id: UpstreamId) -> Vector:
-        """Returns the free amounts of an upstream; zero for an unknown one."""
-        account = self._account_by_id.get(upstream_id)
-        return account.free() if account is not None else ZERO.as_tuple()
+        """Returns the free capacity of an upstream; zero for an unknown one."""
+        allocation = self._allocation_by_id.get(upstream_id)
+        return allocation.free() if allocation is not None else ZERO.as_tuple()
 
     def capacity(self, upstream_id: UpstreamId) -> Vector:
         """Returns the capacity of an upstream; zero for an unknown one."""
-        account = self._account_by_id.get(upstream_id)
-        return account.capacity if account is not None else ZERO.as_tuple()
+        allocation = self._allocation_by_id.get(upstream_id)
+        return allocation.capacity if allocation is not None else ZERO.as_tuple()
 
     def allocated(self, upstream_id: UpstreamId) -> Vector:
         """Returns the sum of all reservations on an upstream."""
-        account = self._account_by_id.get(upstream_id)
-        return account.total if account is not None else ZERO.as_tuple()
+        allocation = self._allocation_by_id.get(upstream_id)
+        return allocation.total if allocation is not None else ZERO.as_tuple()
 
     def reservations(self, upstream_id: UpstreamId) -> Iterator[Reservation]:
         """Yields the reservations on an upstream."""
-        account = self._account_by_id.get(upstream_id)
-        if account is not None:
-            yield from account.by_attempt.values()
+        allocation = self._allocation_by_id.get(upstream_id)
+        if allocation is not None:
+            yield from allocation.by_attempt.values()
 
     def count(self, upstream_id: UpstreamId) -> int:
         """Returns the number of reservations on an upstream."""
-        account = self._account_by_id.get(upstream_id)
-        return len(account.by_attempt) if account is not None else 0
+        allocation = self._allocation_by_id.get(upstream_id)
+        return len(allocation.by_attempt) if allocation is not None else 0
 
     @staticmethod
-    def _regrow(account: _Account) -> None:
-        if not account.unmet:
+    def _grant_unmet(allocation: _Allocation) -> None:
+        if not allocation.unmet:
             return
-        for attempt_id, reservation in list(account.unmet.items()):
+        for attempt_id, reservation in list(allocation.unmet.items()):
             missing = _subtract(reservation._wanted, reservation._amount)
-            grant = _minimum(missing, account.free())
+            grant = _minimum(missing, allocation.free())
             reservation._amount = _add(reservation._amount, grant)
-            account.total = _add(account.total, grant)
+            allocation.total = _add(allocation.total, grant)
             if grant == missing:
-                del account.unmet[attempt_id]
+                del allocation.unmet[attempt_id]
 
 
 def _add(a: Vector, b: Vector) -> Vector:
