--- a/hornbeamramp/admission.py
+++ b/hornbeamramp/admission.py
@@ -1,4 +1,4 @@
-"""Admission: whether a job may enter the queue of its shard."""
+"""Admission control: whether a job may enter the queue of its shard."""
 
 from collections import Counter
 from datetime import timedelta
@@ -18,24 +18,24 @@
 __all__ = ["DEFAULT_QUEUE_BOUND", "Admission"]
 
 DEFAULT_QUEUE_BOUND = 200_000
-# A band is refused when the queue is fuller than this, so that the least urgent is refused first.
-FILL_BY_BAND = {Band.URGENT: 1.0, Band.SERVICE: 0.95, Band.NORMAL: 0.85, Band.BULK: 0.7}
-# Most of the queue's bound one team can take, however few teams there are.
-TEAM_SHARE = 0.5
-# Most of a team's part of the queue that one of its routes can take.
-FLOW_SHARE = 0.75
-# Part of the pool assumed to serve work beyond learned demand, when that takes all of it.
-LEAST_RATE = 0.05
-NO_UPSTREAMS_RETRY = timedelta(seconds=1)
-LONGEST_RETRY = timedelta(minutes=5)
-LONGEST_WAIT = 86_400.0
+# Fill level from which a band is refused, so that the least urgent band is refused first.
+MAX_FILL_BY_BAND = {Band.URGENT: 1.0, Band.SERVICE: 0.95, Band.NORMAL: 0.85, Band.BULK: 0.7}
+# Largest part of the queue bound for one team, however few teams there are.
+MAX_TEAM_SHARE = 0.5
+# Largest part of a team's queue limit for one of its routes.
+MAX_FLOW_SHARE = 0.75
+# Share of the pool assumed to serve work beyond learned demand when learned demand takes it all.
+MIN_POOL_SHARE = 0.05
+NO_UPSTREAMS_RETRY_AFTER = timedelta(seconds=1)
+MAX_RETRY_AFTER = timedelta(minutes=5)
+MAX_WAIT_S = 86_400.0
 
 
 class Admission:
     """Refuses jobs that can't run, exceed a limit or would wait too long.
 
     `queue_bound`
-        Most jobs in the queue.
+        Maximum number of jobs in the queue.
     """
 
     def __init__(
@@ -43,22 +43,23 @@
     ) -> None:
         self._queue = queue
         self._shares = shares
-        self._bound = queue_bound
+        self._queue_bound = queue_bound
         self._shapes: Counter[Vector] = Counter()
-        self._best_speed = 1.0
+        self._max_speed = 1.0
         self._fits_by_amount: dict[Vector, bool] = {}
 
-    def set_shapes(self, shapes: Counter[Vector], best_speed: float) -> None:
-        """Sets the number of upstreams of each shape and the highest speed."""
+    def set_shapes(self, shapes: Counter[Vector], max_speed: float) -> None:
+        """Sets the number of upstreams of each shape and the speed of the fastest one."""
         self._shapes = shapes
-        self._best_speed = best_speed
+        self._max_speed = max_speed
         self._fits_by_amount.clear()
 
     def feasible_size(self, job: Job, flow: Flow, amount: Vector) -> Vector:
-        """Returns the estimated size, lowered where the job could not run with it.
+        """Returns the estimated size of a task, lowered where the job could not run with it.
 
-        A task gets at most a machine that has room for its declared size. Where the estimate would
-        exceed the team's limit or, for a gang, the empty pool, the declared size is used.
+        An estimate that fits on no upstream is capped at a machine on which the declared size fits.
+        If the job would still exceed its team's limit or, for a gang, the empty pool, the declared
+        size is used.
         """
         declared = job.resources.as_tuple()
         if amount == declared:
@@ -87,9 +88,9 @@
         return fits
 
     def fits_gang(self, amount: Vector, tasks: int) -> bool:
-        """Tells whether so many tasks fit into the empty pool at once."""
-        room = sum(fit_count(amount, s) * count for s, count in self._shapes.items())
-        return room >= tasks
+        """Tells whether ``tasks`` tasks of this size fit into the empty pool at once."""
+        task_capacity = sum(fit_count(amount, s) * count for s, count in self._shapes.items())
+        return task_capacity >= tasks
 
     def admit(
         self, job: Job, flow: Flow, expectation: Expectation, parked: bool
@@ -97,20 +98,20 @@
         """Admits or refuses a job.
 
         `parked`
-            Whether jobs of its size wait because there is no room for them.
+            Whether jobs of its size class wait because they fit on no upstream now.
         """
         declared = job.resources.as_tuple()
-        never = self._never_runs(job, flow, declared)
-        if never is not None:
-            return Err(never)
+        infeasible = self._check_feasible(job, flow, declared)
+        if infeasible is not None:
+            return Err(infeasible)
         wait = self.predict_wait(flow, parked)
-        full = self._no_place(flow)
-        if full is not None:
-            retry = min(max(timedelta(seconds=wait / 2), timedelta(seconds=1)), LONGEST_RETRY)
-            return Err(Refusal(RefusalReason.OVERLOAD, full, retry))
+        queue_problem = self._check_queue_limits(flow)
+        if queue_problem is not None:
+            retry = min(max(timedelta(seconds=wait / 2), timedelta(seconds=1)), MAX_RETRY_AFTER)
+            return Err(Refusal(RefusalReason.OVERLOAD, queue_problem, retry))
         if job.deadline is not None:
-            # A declared run time may be ten times too long; it alone is no reason to refuse.
-            run = expectation.run / self._best_speed if expectation.learned else 0.0
+            # A declared run time, which may be ten times too long, is no reason to refuse.
+            run = expectation.run / self._max_speed if expectation.learned else 0.0
             if isinstance(job, ServiceJob):
                 run = 0.0
             deadline = job.deadline.total_seconds()
@@ -121,29 +122,31 @@
         return Ok(Admitted(timedelta(seconds=wait)))
 
     def predict_wait(self, flow: Flow, parked: bool) -> float:
-        """Returns the expected seconds in the queue of another job of the flow."""
+        """Returns the expected queue time in seconds of another job of the flow."""
         if not flow.jobs and not parked:
             return 0.0
-        ahead = sum(
+        work_ahead = sum(
             work for band, work in self._queue.work_by_band.items() if band < flow.account.band
         )
-        own = self._queue.work_of(flow)
-        rest = max(1.0 - self._shares.headroom(flow), LEAST_RATE)
-        share = rest * flow.account.weight / self._waiting_weight(flow)
-        claim = min(flow.claim(), 1.0)
-        if share <= claim:
-            # Served within its learned demand, whatever is ahead of it in other bands.
-            return min(own / claim, LONGEST_WAIT)
-        return min((own / share) + max(ahead, 0.0) / rest, LONGEST_WAIT)
+        own_work = self._queue.work_of(flow)
+        available_share = max(1.0 - self._shares.headroom(flow), MIN_POOL_SHARE)
+        share = available_share * flow.account.weight / self._waiting_weight(flow)
+        claimed_share = min(flow.claim(), 1.0)
+        if share <= claimed_share:
+            # The flow is served within its learned demand, whatever is queued in more urgent bands.
+            return min(own_work / claimed_share, MAX_WAIT_S)
+        return min((own_work / share) + max(work_ahead, 0.0) / available_share, MAX_WAIT_S)
 
     def expected_wait(self, band: Band) -> float:
-        """Returns the expected seconds in the queue of a job of this band."""
+        """Returns the expected queue time in seconds of a job of this band."""
         work = sum(w for other, w in self._queue.work_by_band.items() if other <= band)
-        return min(max(work, 0.0), LONGEST_WAIT)
+        return min(max(work, 0.0), MAX_WAIT_S)
 
-    def _never_runs(self, job: Job, flow: Flow, amount: Vector) -> Refusal | None:
+    def _check_feasible(self, job: Job, flow: Flow, amount: Vector) -> Refusal | None:
         if not self._shapes:
-            return Refusal(RefusalReason.OVERLOAD, "no upstreams known yet", NO_UPSTREAMS_RETRY)
+            return Refusal(
+                RefusalReason.OVERLOAD, "no upstreams known yet", NO_UPSTREAMS_RETRY_AFTER
+            )
         if job.tasks < 1:
             return Refusal(RefusalReason.NEVER_RUNS, "a job needs at least one task")
         if not self.fits(amount):
@@ -159,20 +162,20 @@
             return Refusal(RefusalReason.QUOTA, detail)
         return None
 
-    def _no_place(self, flow: Flow) -> str | None:
+    def _check_queue_limits(self, flow: Flow) -> str | None:
         queued = len(self._queue)
-        if queued >= self._bound * FILL_BY_BAND[flow.account.band]:
+        if queued >= self._queue_bound * MAX_FILL_BY_BAND[flow.account.band]:
             return f"queue is full: {queued} jobs"
         team = flow.account.team
-        part = flow.account.weight / self._waiting_weight(flow)
-        place = max(self._bound * min(part, TEAM_SHARE), 1.0)
-        if flow.account.team_use.jobs >= place:
+        weight_share = flow.account.weight / self._waiting_weight(flow)
+        max_team_jobs = max(self._queue_bound * min(weight_share, MAX_TEAM_SHARE), 1.0)
+        if flow.account.team_use.jobs >= max_team_jobs:
             return f"team {team} has taken its share of the queue"
-        if flow.jobs >= max(place * FLOW_SHARE, 1.0):
+        if flow.jobs >= max(max_team_jobs * MAX_FLOW_SHARE, 1.0):
             return f"route {flow.route} has taken its share of the queue"
         return None
 
     def _waiting_weight(self, flow: Flow) -> float:
-        """Returns the weight of all teams with queued jobs, this one included."""
+        """Returns the total weight of the teams with queued jobs, including that of ``flow``."""
         weight = self._queue.waiting_weight
         return weight if flow.account.team_use.jobs else weight + flow.account.weight
--- a/hornbeamramp/capacity_index.py
+++ b/hornbeamramp/capacity_index.py
@@ -1,4 +1,4 @@
-"""Upstreams indexed by free capacity, so that placement never scans the pool."""
+"""Index of upstreams by capacity, with which placement avoids a scan of the whole pool."""
 
 from collections.abc import Callable, Iterator
 
@@ -8,14 +8,14 @@
 
 __all__ = ["CapacityIndex", "CapacityTree", "CapacityView"]
 
-_NONE: Vector = (-1, -1, -1, -1, -1)
+_UNAVAILABLE: Vector = (-1, -1, -1, -1, -1)
 
 
 class CapacityTree:
-    """Segment tree over positions; a node holds the maximum of each resource below it.
+    """Segment tree over positions; a node holds the maximum of each resource in its subtree.
 
-    `set` is O(log n). `first` is O(log n) unless different leaves hold the maxima of different
-    resources; a subtree is then visited without finding a leaf in it.
+    `set` is O(log n). `first` is O(log n) unless different leaves of a subtree hold the maxima of
+    different resources: it may then search the subtree without finding a leaf that fits.
     """
 
     __slots__ = ("_leaves", "_nodes", "size")
@@ -23,7 +23,7 @@
     def __init__(self, size: int) -> None:
         self.size = size
         self._leaves = 1 << max(size - 1, 0).bit_length()
-        self._nodes: list[Vector] = [_NONE] * (2 * self._leaves)
+        self._nodes: list[Vector] = [_UNAVAILABLE] * (2 * self._leaves)
 
     def fill(self, values: list[Vector]) -> None:
         """Sets all positions at once, in O(n)."""
@@ -31,7 +31,7 @@
         nodes[leaves : leaves + len(values)] = values
         for i in range(leaves - 1, 0, -1):
             a, b = nodes[2 * i], nodes[2 * i + 1]
-            nodes[i] = a if b is _NONE else tuple(map(max, a, b))  # type: ignore[assignment]
+            nodes[i] = a if b is _UNAVAILABLE else tuple(map(max, a, b))  # type: ignore[assignment]
 
     def set(self, position: int, value: Vector) -> None:
         nodes = self._nodes
@@ -42,16 +42,16 @@
         i >>= 1
         while i:
             a, b = nodes[2 * i], nodes[2 * i + 1]
-            top = (
+            maxima = (
                 a[0] if a[0] > b[0] else b[0],
                 a[1] if a[1] > b[1] else b[1],
                 a[2] if a[2] > b[2] else b[2],
                 a[3] if a[3] > b[3] else b[3],
                 a[4] if a[4] > b[4] else b[4],
             )
-            if top == nodes[i]:
+            if maxima == nodes[i]:
                 return
-            nodes[i] = top
+            nodes[i] = maxima
             i >>= 1
 
     def get(self, position: int) -> Vector:
@@ -69,7 +69,7 @@
         )
 
     def first(self, amount: Vector, start: int = 0) -> int:
-        """Returns the first position from ``start`` on that has ``amount``, or -1."""
+        """Returns the first position from ``start`` on with at least ``amount``, or -1."""
         if start >= self.size:
             return -1
         nodes, leaves = self._nodes, self._leaves
@@ -93,12 +93,12 @@
 
 
 class CapacityView:
-    """Upstreams in one order of preference, searchable by one kind of capacity.
+    """Upstreams in one order of preference, searchable by one measure of capacity.
 
     `key`
         Sort key of an upstream, given its shape and the mean speed of its rack.
     `value`
-        Returns what counts as available on an upstream, or ``None`` to leave it out.
+        Returns the capacity available on an upstream, or ``None`` to exclude it.
     """
 
     def __init__(
@@ -121,32 +121,32 @@
         self._dirty.add(upstream_id)
 
     def invalidate(self, shape_by_id: dict[UpstreamId, UpstreamShape]) -> None:
-        """Notes that upstreams were added, removed or changed their shape."""
+        """Has the view rebuilt on next use, after a change of the upstreams or their shapes."""
         self._shape_by_id = shape_by_id
         self._stale = True
 
     def first(self, amount: Vector, start: int = 0) -> int:
-        """Returns the first position from ``start`` on with room for ``amount``, or -1."""
+        """Returns the first position from ``start`` on where ``amount`` fits, or -1."""
         self._refresh()
         return self._tree.first(amount, start)
 
     def may_fit(self, amount: Vector) -> bool:
-        """Tells whether any upstream may have room; false only if none has."""
+        """Tells whether ``amount`` may fit on any upstream; false only if it fits on none."""
         self._refresh()
         return self._tree.may_fit(amount)
 
     def candidates(self, amount: Vector, start: int = 0) -> Iterator[UpstreamId]:
-        """Yields upstreams with room for ``amount`` in order of preference."""
+        """Yields the upstreams on which ``amount`` fits in order of preference."""
         position = self.first(amount, start)
         while position >= 0:
             yield self.ids[position]
             position = self._tree.first(amount, position + 1)
 
     def available(self, upstream_id: UpstreamId) -> Vector:
-        """Returns the amounts available on an upstream; negative if it is left out."""
+        """Returns the capacity available on an upstream; negative if it is excluded or unknown."""
         self._refresh()
         position = self.position_by_id.get(upstream_id)
-        return self._tree.get(position) if position is not None else _NONE
+        return self._tree.get(position) if position is not None else _UNAVAILABLE
 
     def _refresh(self) -> None:
         if self._stale:
@@ -156,7 +156,7 @@
         for upstream_id in self._dirty:
             position = self.position_by_id.get(upstream_id)
             if position is not None:
-                self._tree.set(position, self._value(upstream_id) or _NONE)
+                self._tree.set(position, self._value(upstream_id) or _UNAVAILABLE)
         self._dirty.clear()
 
     def _rebuild(self) -> None:
@@ -169,10 +169,10 @@
         self.position_by_id = {upstream_id: i for i, upstream_id in enumerate(self.ids)}
         self.rack_end = [0] * len(shapes)
         for i in range(len(shapes) - 1, -1, -1):
-            same = i + 1 < len(shapes) and shapes[i + 1].rack == shapes[i].rack
-            self.rack_end[i] = self.rack_end[i + 1] if same else i + 1
+            same_rack = i + 1 < len(shapes) and shapes[i + 1].rack == shapes[i].rack
+            self.rack_end[i] = self.rack_end[i + 1] if same_rack else i + 1
         self._tree = CapacityTree(len(shapes))
-        self._tree.fill([self._value(upstream_id) or _NONE for upstream_id in self.ids])
+        self._tree.fill([self._value(upstream_id) or _UNAVAILABLE for upstream_id in self.ids])
         self._dirty.clear()
         self._stale = False
 
@@ -187,16 +187,16 @@
 
 
 class CapacityIndex:
-    """The views that placement searches. Upstreams without accelerators come first in each.
+    """The views searched by placement. Upstreams without accelerators come first in each.
 
     `by_speed`
         Free capacity, fastest upstream first.
     `by_rack`
-        Free capacity, upstreams of a rack next to each other.
+        Free capacity, with the upstreams of a rack next to each other and the fastest rack first.
     `reclaimable`
-        Free capacity and what preemption could free.
+        Free capacity plus what preemption could free.
     `drainable`
-        Capacity not held by tasks without an expected end.
+        Free capacity plus that of running tasks with an expected end.
     """
 
     def __init__(
