--- a/hornbeamramp/demand.py
+++ b/hornbeamramp/demand.py
@@ -1,28 +1,28 @@
-"""Demand for a kind of resource, learned from use, and its sum over flows."""
+"""Demand for a kind of resource, learned from use, and its sum over all flows."""
 
 from math import sqrt
 
 __all__ = ["Demand", "DemandSum"]
 
-# Demand is covered up to this many standard deviations above its mean.
+# Claims cover demand up to this many standard deviations above its mean.
 DEVIATIONS = 3.0
-# Most variance, in relation to that of tasks that arrive independently of each other.
-BURSTINESS = 4.0
-# Most of the pool that is kept free for learned demand.
-MOST_HEADROOM = 0.9
+# Upper limit of the variance, relative to that of Poisson arrivals.
+MAX_DISPERSION = 4.0
+# Largest share of the pool that is kept free for learned demand.
+MAX_HEADROOM = 0.9
 
 
 class Demand:
     """Learned demand of a flow for one kind of resource, as shares of the pool.
 
     `share`
-        In use now.
+        Share in use now.
     `mean`, `variance`
-        Of what was in use while the flow was not backlogged.
+        Mean and variance of the share in use while the flow was not backlogged.
     `unit`
-        Largest task started.
+        Share of the largest task started.
     `capped`
-        The part of ``share`` that lies within the claim.
+        Part of ``share`` that is within the claim.
     """
 
     __slots__ = ("capped", "mean", "share", "unit", "variance")
@@ -40,7 +40,7 @@
 
 
 class DemandSum:
-    """Sums over all flows of one kind of demand."""
+    """Sums of one kind of demand over all flows."""
 
     __slots__ = ("capped", "mean", "variance")
 
@@ -53,29 +53,29 @@
         difference = demand.share - demand.mean
         change = weight * difference
         variance = (1 - weight) * (demand.variance + change * difference)
-        # The tasks in use of Poisson arrivals have a variance of their mean. One sudden rise, as at
-        # the start of a flood, must not look like wide variation.
-        variance = min(variance, BURSTINESS * demand.unit * (demand.mean + change))
+        # With Poisson arrivals, the number of running tasks has a variance equal to its mean. The
+        # limit keeps one sudden rise, as at the start of a flood, from passing for high variance.
+        variance = min(variance, MAX_DISPERSION * demand.unit * (demand.mean + change))
         self.mean += change
         self.variance += variance - demand.variance
         demand.mean += change
         demand.variance = variance
 
     def update_capped(self, demand: Demand) -> None:
-        # What a flow uses beyond its own claim must not hide that others are below theirs.
+        # Use beyond a flow's own claim is not counted; it would hide that others are below theirs.
         capped = min(demand.share, demand.claim())
         self.capped += capped - demand.capped
         demand.capped = capped
 
     def demand_of_others(self, demand: Demand) -> float:
-        """Returns the demand of all other flows, up to ``MOST_HEADROOM``."""
+        """Returns the demand of all flows but this one, at most ``MAX_HEADROOM``."""
         return self.demand_excluding(demand.mean, demand.variance)
 
     def demand_excluding(self, mean: float, variance: float) -> float:
-        """Returns the demand of all flows but those with these sums, up to ``MOST_HEADROOM``."""
+        """Returns the demand of all flows but those with these sums, at most ``MAX_HEADROOM``."""
         variance = self.variance - variance
         deviation = sqrt(variance) if variance > 0 else 0.0
-        return min(self.mean - mean + DEVIATIONS * deviation, MOST_HEADROOM)
+        return min(self.mean - mean + DEVIATIONS * deviation, MAX_HEADROOM)
 
     def headroom(self, demand: Demand) -> float:
         """Returns the share of the pool to leave free for the other flows."""
