--- a/hornbeamramp/decision_executor.py
+++ b/hornbeamramp/decision_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the scheduler's decisions at the upstreams."""
+"""Execution of the scheduler's decisions on the upstreams."""
 
 from collections.abc import Callable, Coroutine
 from typing import Any
@@ -23,12 +23,12 @@
 
 
 class DecisionExecutor:
-    """Sends starts, stops, checkpoints and throttles, each as a task of its own.
+    """Sends starts, stops, checkpoints and throttles, each in a background task of its own.
 
     `link_by_id`
-        The shard's upstreams; shared with the owner, which adds to it.
+        Links to the shard's upstreams; shared with the owner, which adds to it.
     `wake`
-        Makes the owner ask the scheduler for decisions.
+        Has the owner request decisions from the scheduler.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         self._wake = wake
 
     def follow(self, attempt_id: AttemptId, job: Job, link: UpstreamLink) -> None:
-        """Waits for the end of an attempt that an earlier owner started."""
+        """Waits for the end of an attempt started by an earlier owner, in the background."""
         self._tasks.spawn(self._runner.follow(attempt_id, job, link))
 
     def apply(self, decision: Decision) -> None:
@@ -64,12 +64,12 @@
                 self._scheduler.ended(decision.attempt_id, TaskEnd.NOT_STARTED, None)
                 return
             record.upstream_by_attempt[decision.attempt_id] = link.id
-            self._note_queue_time(record)
+            self._record_queue_time(record)
             self._tasks.spawn(self._runner.run(decision, link, record.context))
         elif isinstance(decision, Stop):
-            self._tasks.spawn(self._quietly(link.adapter.stop(decision.attempt_id)))
+            self._tasks.spawn(self._send(link.adapter.stop(decision.attempt_id)))
         elif isinstance(decision, Checkpoint):
-            self._tasks.spawn(self._quietly(link.adapter.checkpoint(decision.attempt_id)))
+            self._tasks.spawn(self._send(link.adapter.checkpoint(decision.attempt_id)))
         elif isinstance(decision, Throttle):
             self._tasks.spawn(self._throttle(decision, link))
 
@@ -77,20 +77,28 @@
         try:
             throttled = await link.adapter.throttle(decision.attempt_id, decision.resources)
         except (UnreachableError, ProtocolError) as error:
-            _log.info("{}: {}", error.peer, error.message)
+            _log.info(
+                "throttle at upstream {} failed, reservation unchanged: {}",
+                error.peer,
+                error.message,
+            )
         else:
             if throttled:
                 self._scheduler.throttled(decision.attempt_id)
                 self._wake()
 
-    async def _quietly(self, call: Coroutine[Any, Any, Any]) -> None:
-        # A failed stop is not retried here: the task ends or its lease lapses, and both are seen.
+    async def _send(self, call: Coroutine[Any, Any, Any]) -> None:
+        # A failed call is not retried: the task ends or its lease expires, and both are detected.
         try:
             await call
         except (UnreachableError, ProtocolError) as error:
-            _log.info("{}: {}", error.peer, error.message)
+            _log.info(
+                "stop or checkpoint at upstream {} failed, not retried: {}",
+                error.peer,
+                error.message,
+            )
 
-    def _note_queue_time(self, record: JobRecord) -> None:
+    def _record_queue_time(self, record: JobRecord) -> None:
         waited = record.leave_queue(self._clock.boot_time())
         if waited is not None:
             seconds = waited.total_seconds()
--- a/hornbeamramp/decisions.py
+++ b/hornbeamramp/decisions.py
@@ -1,4 +1,4 @@
-"""What `ShardScheduler` is told and what it decides, as types."""
+"""Types of the inputs, decisions and status of `ShardScheduler`."""
 
 from datetime import timedelta
 from enum import Enum
@@ -35,7 +35,7 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """The job was refused and did not run. ``retry_after`` is ``None`` if a retry can't help."""
+    """The job was refused and did not run. ``retry_after`` is ``None`` if a retry is pointless."""
 
     reason: RefusalReason
     detail: str
@@ -97,21 +97,21 @@
 
 
 class EndEffect(Enum):
-    """What follows from the end of an attempt.
+    """Effect of the end of an attempt on its task and job.
 
     `JOB_DONE`
         All tasks of the job succeeded.
     `TASK_DONE`
-        This task succeeded; others of the job still run or wait.
+        This task succeeded; other tasks of the job still run or wait.
     `RETRY`
         The task is queued again.
     `JOB_FAILED`
-        The job ended without success; its other attempts are to be stopped.
+        The job failed; its other attempts must be stopped.
     `JOB_CANCELLED`
         The last attempt of a cancelled job ended.
     `IGNORED`
-        The attempt was not known, or its job has failed or is cancelled and others of its
-        attempts still run or it was reported as failed before.
+        The attempt was not known, or its job has failed or was cancelled and either other attempts
+        of the job still run or the job was reported as failed before.
     """
 
     JOB_DONE = "job_done"
@@ -129,7 +129,7 @@
 
 
 class Cancellation(msgspec.Struct, frozen=True):
-    """Effect of a cancel: removed from the queue, or attempts that must be stopped.
+    """Effect of a cancellation: removed from the queue, or attempts that must be stopped.
 
     `ran`
         Whether an earlier attempt of a job that was removed from the queue may have run. Such a
@@ -150,7 +150,7 @@
 
 
 class SchedulerStatus(msgspec.Struct, frozen=True):
-    """Snapshot for operators. ``refused`` counts refusals by reason since the start."""
+    """Snapshot for operators. ``refused`` counts refusals by reason since the scheduler started."""
 
     queued_by_band: dict[Band, int]
     running: int
--- a/hornbeamramp/plugins.py
+++ b/hornbeamramp/plugins.py
@@ -1,8 +1,8 @@
-"""Plug-in base class and a registry that finds plug-ins by name or alias and loads them lazily.
+"""Plug-in base class and a registry that looks plug-ins up by name or alias and loads them lazily.
 
 Each folder of plug-ins has a ``_mapping.py`` with a table ``PLUGINS`` of the form
-``{"ClassName": ("module.path", "name", ("alias", ...))}``. A plug-in's module is imported when it
-is first asked for. Code outside the package adds classes with `Registry.register`.
+``{"ClassName": ("module.path", "name", ("alias", ...))}``. A plug-in's module is imported when
+it is first requested. Code outside the package adds classes with `Registry.register`.
 """
 
 from collections.abc import Iterator, Mapping
@@ -13,12 +13,12 @@
 
 
 class Plugin:
-    """Base of all plug-ins.
+    """Base class of all plug-ins.
 
     `name`
         Full name, unique within its kind.
     `aliases`
-        Short names that settings and tables may use instead.
+        Alternative names that settings and tables may use.
     """
 
     name: ClassVar[str]
@@ -26,7 +26,7 @@
 
 
 class PluginNotFoundError(LookupError):
-    """No plug-in of the kind has the name or alias."""
+    """No plug-in of this kind has the requested name or alias."""
 
 
 P = TypeVar("P", bound=Plugin)
@@ -36,9 +36,9 @@
     """Plug-ins of one kind.
 
     `kind`
-        What the plug-ins are, for error messages.
+        Name of the kind, for error messages.
     `mapping`
-        Table of the plug-ins shipped with the package, see the module docstring.
+        Table of the built-in plug-ins; see the module docstring.
     """
 
     def __init__(self, kind: str, mapping: Mapping[str, tuple[str, str, tuple[str, ...]]]) -> None:
@@ -47,7 +47,7 @@
         self._class_by_name: dict[str, type[P]] = {}
 
     def register(self, plugin: type[P]) -> type[P]:
-        """Adds a plug-in class. Usable as a decorator."""
+        """Adds a plug-in class. Can be used as a decorator."""
         for name in (plugin.name, *plugin.aliases):
             self._class_by_name[name] = plugin
         return plugin
@@ -66,9 +66,9 @@
 
     def names(self) -> Iterator[str]:
         """Yields the full name of each plug-in without loading it."""
-        shipped = {name for _, name, _ in self._mapping.values()}
-        yield from shipped
-        yield from {cls.name for cls in self._class_by_name.values()} - shipped
+        builtin = {name for _, name, _ in self._mapping.values()}
+        yield from builtin
+        yield from {cls.name for cls in self._class_by_name.values()} - builtin
 
     def _load(self, name: str) -> None:
         for class_name, (module, full_name, aliases) in self._mapping.items():
--- a/hornbeamramp/routing.py
+++ b/hornbeamramp/routing.py
@@ -1,4 +1,4 @@
-"""Choice of the data centre for a job: expected wait plus network delay."""
+"""Choice of the data centre for a job by expected wait plus network delay."""
 
 from collections.abc import Callable, Iterable
 from datetime import timedelta
@@ -10,11 +10,11 @@
 
 __all__ = ["network_delay", "order_shards"]
 
-# Used where the settings name no distance: farther than any data centre of the same region.
+# Used where the settings give no distance; farther than any data centre of the same region.
 DEFAULT_DISTANCE = timedelta(milliseconds=20)
 
-# A shard without a known owner comes after all that have one, however long their wait.
-NO_OWNER_WAIT = timedelta(days=1)
+# Orders a shard without a serving owner behind all others, however long their wait.
+NO_OWNER_PENALTY = timedelta(days=1)
 
 
 def network_delay(settings: Settings, to: DataCentreId) -> timedelta:
@@ -35,14 +35,14 @@
     band: Band,
     beat_of: Callable[[ShardId], ShardBeat | None],
 ) -> list[ShardId]:
-    """Returns the pool's shards, the one with the least expected wait plus delay first.
+    """Returns the pool's shards in order of expected wait plus network delay, shortest first.
 
-    ``beat_of`` returns the latest heartbeat of a shard. The own data centre wins a tie.
+    ``beat_of`` returns the latest heartbeat data of a shard. Ties go to the local data centre.
     """
 
     def cost(data_centre: DataCentreId) -> tuple[timedelta, bool, str]:
         beat = beat_of(shard_id(pool, data_centre))
-        wait = NO_OWNER_WAIT
+        wait = NO_OWNER_PENALTY
         if beat is not None and beat.serving:
             wait = beat.wait_by_band.get(band, timedelta(0))
         delay = network_delay(settings, data_centre)
--- a/hornbeamramp/store_budget.py
+++ b/hornbeamramp/store_budget.py
@@ -1,4 +1,4 @@
-"""Budget of store calls of one process: a token bucket in front of the platform adapter."""
+"""Rate limit for store calls of one process: a token bucket in front of the platform adapter."""
 
 import asyncio
 import heapq
@@ -13,30 +13,31 @@
 
 __all__ = ["BudgetedPlatform"]
 
-RENEWAL, OTHER = 0, 1
+RENEWAL_PRIORITY, OTHER_PRIORITY = 0, 1
 
 
 class BudgetedPlatform(Platform):
-    """Passes calls on to another platform at a bounded rate, lease renewals first.
+    """Forwards calls to another platform at a limited rate, lease renewals first.
 
     A call that would wait longer than ``longest_wait`` raises `StoreUnavailableError` with
-    ``sent=False`` at once. Renewals are never refused. A pending watch takes one call.
+    ``sent=False`` at once. Renewals are never refused. A watch counts as one call.
 
     `platform`
         Platform that carries out the calls.
     `clock`
-        Source of time for the budget.
+        Clock by which the budget refills.
     `calls_per_second`
-        Rate at which the budget refills; more than 0.
+        Refill rate of the budget; more than 0.
     `burst`
-        Most calls at once after a pause; at least 1 (default: ``calls_per_second``, at least 1).
+        Maximum number of calls at once after a pause; at least 1
+        (default: ``calls_per_second``, at least 1).
     `longest_wait`
-        Longest predicted wait of a call for its turn (default: 2 s).
+        Longest predicted wait of a call for a token (default: 2 s).
 
     `calls_by_kind`
-        Number of calls passed on, by the name of the method.
+        Number of calls forwarded, by name of the method.
     `refused_by_kind`
-        Number of calls refused for lack of budget, by the name of the method.
+        Number of calls refused because the budget was exhausted, by name of the method.
     """
 
     name = "budgeted"
@@ -62,7 +63,7 @@
         self._refilled_at = clock.boot_time()
         self._sequence = itertools.count()
         self._waiting: list[tuple[int, int, asyncio.Future[None]]] = []
-        self._granting: asyncio.Task[None] | None = None
+        self._grant_task: asyncio.Task[None] | None = None
         self.calls_by_kind: dict[str, int] = {}
         self.refused_by_kind: dict[str, int] = {}
 
@@ -93,7 +94,7 @@
         return await self._platform.grant_lease(ttl)
 
     async def renew_lease(self, lease: LeaseId) -> bool:
-        await self._take("renew_lease", RENEWAL)
+        await self._take("renew_lease", RENEWAL_PRIORITY)
         return await self._platform.renew_lease(lease)
 
     async def revoke_lease(self, lease: LeaseId) -> None:
@@ -107,28 +108,31 @@
     async def close(self) -> None:
         await self._platform.close()
 
-    async def _take(self, kind: str, priority: int = OTHER) -> None:
-        """Waits for the call's turn."""
+    async def _take(self, kind: str, priority: int = OTHER_PRIORITY) -> None:
+        """Takes a token for a call, or waits for one in order of priority."""
         self._refill()
         if not self._waiting and self._tokens >= 1:
             self._tokens -= 1
         else:
             missing = len(self._waiting) + 1 - self._tokens
-            if priority != RENEWAL and missing / self._rate > self._longest_wait.total_seconds():
+            if (
+                priority != RENEWAL_PRIORITY
+                and missing / self._rate > self._longest_wait.total_seconds()
+            ):
                 self.refused_by_kind[kind] = self.refused_by_kind.get(kind, 0) + 1
                 message = f"{kind}: the budget of store calls is used up"
                 raise StoreUnavailableError(Step.RENEW, "store", message, sent=False)
             turn = asyncio.get_running_loop().create_future()
             heapq.heappush(self._waiting, (priority, next(self._sequence), turn))
-            if self._granting is None or self._granting.done():
-                self._granting = asyncio.create_task(self._grant_turns())
+            if self._grant_task is None or self._grant_task.done():
+                self._grant_task = asyncio.create_task(self._grant_turns())
             await turn
         self.calls_by_kind[kind] = self.calls_by_kind.get(kind, 0) + 1
 
     async def _grant_turns(self) -> None:
         while self._waiting:
             self._refill()
-            # Floating-point refills may end just short of a whole token.
+            # Rounding may leave a refill just short of a whole token.
             if self._tokens < 1 - 1e-6:
                 await self._clock.sleep(timedelta(seconds=(1 - self._tokens) / self._rate))
                 continue
