--- a/hornbeamramp/policies/__init__.py
+++ b/hornbeamramp/policies/__init__.py
@@ -1,6 +1,6 @@
-"""Placement policies: which upstreams the tasks of a job go to.
+"""Placement policies, which choose the upstreams for the tasks of a job.
 
-`PlacementPolicy` is the contract; `POLICIES` finds a policy by the name in a pool's row.
+`PlacementPolicy` is their interface; `POLICIES` looks a policy up by the name in a pool's row.
 """
 
 from hornbeamramp.plugins import Registry
--- a/hornbeamramp/policies/_mapping.py
+++ b/hornbeamramp/policies/_mapping.py
@@ -1,4 +1,4 @@
-"""Placement policies shipped with the package."""
+"""Table of the built-in placement policies."""
 
 __all__ = ["PLUGINS"]
 
--- a/hornbeamramp/policies/base.py
+++ b/hornbeamramp/policies/base.py
@@ -1,4 +1,4 @@
-"""Contract of placement policies."""
+"""Interface of placement policies."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Mapping, Set
@@ -23,26 +23,26 @@
     `count`
         Number of tasks; all of them are placed or none.
     `avoid`
-        Upstreams on which the job failed before. Used only if no other has room.
+        Upstreams on which the job failed before. Used only if the tasks fit on no others.
     `tasks_by_rack`
-        Number of tasks of the same job that run in each rack.
-    `last_rack_position`
-        Position in `CapacityIndex.by_rack` at which the search for another rack starts.
+        Number of running tasks of the same job in each rack.
+    `rack_search_start`
+        Position in `CapacityIndex.by_rack` at which the search for a rack starts.
     """
 
     amount: Vector
     count: int = 1
     avoid: Set[UpstreamId] = frozenset()
     tasks_by_rack: Mapping[RackId, int] = {}
-    last_rack_position: int = 0
+    rack_search_start: int = 0
 
 
 class PlacementPolicy(Plugin, ABC):
-    """Chooses upstreams by free capacity. Makes no reservation itself.
+    """Chooses upstreams by free capacity. Does not reserve it.
 
     `fair`
         Whether the queue is ordered by bands, shares and expected time, with headroom for other
-        teams, preemption and reservations for gangs. Otherwise jobs are tried in order of arrival.
+        teams, preemption and reservations for gangs. Otherwise jobs are served first in, first out.
     """
 
     fair: ClassVar[bool] = True
--- a/hornbeamramp/policies/fifo_first_fit.py
+++ b/hornbeamramp/policies/fifo_first_fit.py
@@ -1,4 +1,4 @@
-"""Baseline: order of arrival, first upstream with room."""
+"""Baseline policy: first in, first out, on the first upstream where the task fits."""
 
 from hornbeamramp.capacity_index import CapacityIndex
 from hornbeamramp.ids import UpstreamId
@@ -10,7 +10,7 @@
 
 
 class FifoFirstFitPolicy(PlacementPolicy):
-    """Takes the first upstream with room. For comparison only."""
+    """Chooses the first fitting upstream. For comparison only."""
 
     name = "fifo_first_fit"
     aliases = ("fifo",)
--- a/hornbeamramp/policies/gang.py
+++ b/hornbeamramp/policies/gang.py
@@ -10,11 +10,11 @@
 
 def fit_count(amount: Vector, free: Vector) -> int:
     """Returns how many tasks of size ``amount`` fit into ``free``; at most 2**31."""
-    times = 1 << 31
-    for need, have in zip(amount, free, strict=True):
-        if need:
-            times = min(times, have // need)
-    return max(times, 0)
+    fits = 1 << 31
+    for needed, have in zip(amount, free, strict=True):
+        if needed:
+            fits = min(fits, have // needed)
+    return max(fits, 0)
 
 
 def place(request: PlacementRequest, index: CapacityIndex) -> list[UpstreamId] | None:
@@ -23,11 +23,11 @@
     avoided: list[UpstreamId] = []
     chosen: list[UpstreamId] = []
     for upstream_id in view.candidates(amount):
-        times = fit_count(amount, view.available(upstream_id))
+        fits = fit_count(amount, view.available(upstream_id))
         if upstream_id in request.avoid:
-            avoided.extend([upstream_id] * min(times, request.count))
+            avoided.extend([upstream_id] * min(fits, request.count))
             continue
-        chosen.extend([upstream_id] * min(times, request.count - len(chosen)))
+        chosen.extend([upstream_id] * min(fits, request.count - len(chosen)))
         if len(chosen) == request.count:
             return chosen
     chosen.extend(avoided[: request.count - len(chosen)])
--- a/hornbeamramp/policies/random.py
+++ b/hornbeamramp/policies/random.py
@@ -1,4 +1,4 @@
-"""Baseline: order of arrival, an upstream chosen at random among those with room."""
+"""Baseline policy: first in, first out, on a random upstream where the task fits."""
 
 from random import Random
 
@@ -12,9 +12,9 @@
 
 
 class RandomPolicy(PlacementPolicy):
-    """Takes the first upstream with room behind a random position. For comparison only.
+    """Chooses the first fitting upstream from a random position on. For comparison only.
 
-    The generator has a fixed seed, so that the same calls give the same decisions.
+    The generator has a fixed seed, so that equal sequences of calls give equal decisions.
     """
 
     name = "random"
--- a/hornbeamramp/policies/service.py
+++ b/hornbeamramp/policies/service.py
@@ -4,34 +4,35 @@
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.policies.base import PlacementRequest
 
-__all__ = ["RACKS", "place"]
+__all__ = ["EXTRA_RACKS", "place"]
 
-# Racks that are compared when every rack tried already runs a task of the service.
-RACKS = 16
+# Candidates compared in addition to one for each rack that already runs a task of the service.
+EXTRA_RACKS = 16
 
 
 def place(request: PlacementRequest, index: CapacityIndex) -> list[UpstreamId] | None:
     """Returns an upstream in the rack with the fewest tasks of the service.
 
-    Takes the first rack without any; the search starts behind the rack used last and wraps
-    around. Prefers racks without accelerators for tasks that need none.
+    Chooses the first rack without any; the search starts behind the rack used last, at
+    ``request.rack_search_start``, and wraps around. Tasks that need no accelerator are placed on
+    upstreams without accelerators first.
     """
     view, amount = index.by_rack, request.amount
     best: UpstreamId | None = None
     best_score: tuple = ()
-    start, wrapped, seen = request.last_rack_position, False, 0
-    while seen < RACKS + len(request.tasks_by_rack):
+    start, wrapped, candidates_tried = request.rack_search_start, False, 0
+    while candidates_tried < EXTRA_RACKS + len(request.tasks_by_rack):
         position = view.first(amount, start)
-        if position < 0 or (wrapped and position >= request.last_rack_position):
-            if wrapped or not request.last_rack_position:
+        if position < 0 or (wrapped and position >= request.rack_search_start):
+            if wrapped or not request.rack_search_start:
                 break
             start, wrapped = 0, True
             continue
         upstream_id = view.ids[position]
         shape = index.shape_by_id[upstream_id]
-        wasted = not amount[2] and shape.resources.accelerators > 0
+        wastes_accelerators = not amount[2] and shape.resources.accelerators > 0
         score = (
-            wasted,
+            wastes_accelerators,
             upstream_id in request.avoid,
             request.tasks_by_rack.get(shape.rack, 0),
         )
@@ -40,5 +41,5 @@
         if score == (False, False, 0):
             break
         start = position + 1 if score[1] else view.rack_end[position]
-        seen += 1
+        candidates_tried += 1
     return [best] if best is not None else None
