--- a/hornbeamramp/capacity_index.py
+++ b/hornbeamramp/capacity_index.py
@@ -160,11 +160,15 @@
         self._dirty.clear()
 
     def _rebuild(self) -> None:
-        speeds: dict[RackId, list[float]] = {}
+        speeds_by_rack: dict[RackId, list[float]] = {}
         for shape in self._shape_by_id.values():
-            speeds.setdefault(shape.rack, []).append(shape.speed)
-        mean = {rack: sum(values) / len(values) for rack, values in speeds.items()}
-        shapes = sorted(self._shape_by_id.values(), key=lambda s: self._key(s, mean[s.rack]))
+            speeds_by_rack.setdefault(shape.rack, []).append(shape.speed)
+        mean_speed_by_rack = {
+            rack: sum(values) / len(values) for rack, values in speeds_by_rack.items()
+        }
+        shapes = sorted(
+            self._shape_by_id.values(), key=lambda s: self._key(s, mean_speed_by_rack[s.rack])
+        )
         self.ids = [shape.id for shape in shapes]
         self.position_by_id = {upstream_id: i for i, upstream_id in enumerate(self.ids)}
         self.rack_end = [0] * len(shapes)
--- a/hornbeamramp/ledger.py
+++ b/hornbeamramp/ledger.py
@@ -1,4 +1,4 @@
-"""Ledger of allocated capacity: all capacity of upstreams is allocated here."""
+"""Ledger of allocated capacity; all capacity of upstreams is allocated through it."""
 
 from collections.abc import Callable, Iterator
 
--- a/hornbeamramp/policies/gang.py
+++ b/hornbeamramp/policies/gang.py
@@ -5,7 +5,7 @@
 from hornbeamramp.ledger import Vector
 from hornbeamramp.policies.base import PlacementRequest
 
-__all__ = ["place", "fit_count"]
+__all__ = ["fit_count", "place"]
 
 
 def fit_count(amount: Vector, free: Vector) -> int:
--- a/hornbeamramp/policies/service.py
+++ b/hornbeamramp/policies/service.py
@@ -4,10 +4,10 @@
 from hornbeamramp.ids import UpstreamId
 from hornbeamramp.policies.base import PlacementRequest
 
-__all__ = ["EXTRA_RACKS", "place"]
+__all__ = ["EXTRA_CANDIDATES", "place"]
 
 # Candidates compared in addition to one for each rack that already runs a task of the service.
-EXTRA_RACKS = 16
+EXTRA_CANDIDATES = 16
 
 
 def place(request: PlacementRequest, index: CapacityIndex) -> list[UpstreamId] | None:
@@ -21,7 +21,7 @@
     best: UpstreamId | None = None
     best_score: tuple = ()
     start, wrapped, candidates_tried = request.rack_search_start, False, 0
-    while candidates_tried < EXTRA_RACKS + len(request.tasks_by_rack):
+    while candidates_tried < EXTRA_CANDIDATES + len(request.tasks_by_rack):
         position = view.first(amount, start)
         if position < 0 or (wrapped and position >= request.rack_search_start):
             if wrapped or not request.rack_search_start:
--- a/hornbeamramp/routing.py
+++ b/hornbeamramp/routing.py
@@ -13,8 +13,8 @@
 # Used where the settings give no distance; farther than any data centre of the same region.
 DEFAULT_DISTANCE = timedelta(milliseconds=20)
 
-# Orders a shard without a serving owner behind all others, however long their wait.
-NO_OWNER_PENALTY = timedelta(days=1)
+# Assumed for a shard without a known owner, to order it behind all others however long they wait.
+NO_OWNER_WAIT = timedelta(days=1)
 
 
 def network_delay(settings: Settings, to: DataCentreId) -> timedelta:
@@ -42,7 +42,7 @@
 
     def cost(data_centre: DataCentreId) -> tuple[timedelta, bool, str]:
         beat = beat_of(shard_id(pool, data_centre))
-        wait = NO_OWNER_PENALTY
+        wait = NO_OWNER_WAIT
         if beat is not None and beat.serving:
             wait = beat.wait_by_band.get(band, timedelta(0))
         delay = network_delay(settings, data_centre)
