--- a/tests/policies/test_policies.py
+++ b/tests/policies/test_policies.py
@@ -1,4 +1,4 @@
-"""Tests of placement by kind of job and of the baselines."""
+"""Tests of placement by kind of job and of the baseline policies."""
 
 import pytest
 
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -1,4 +1,4 @@
-"""Tests of what is refused and why."""
+"""Tests of admission control: which jobs are refused and for what reason."""
 
 import pytest
 from result import Ok
@@ -33,7 +33,7 @@
     assert refused.detail
 
 
-def test_before_any_upstream_is_known_a_job_is_told_to_come_again(clock):
+def test_a_job_is_refused_with_a_retry_time_before_any_upstream_is_known(clock):
     scheduler = make_scheduler(clock, 0)
     refused = refusal(scheduler.submit(make_job(1)))
     assert refused.reason is RefusalReason.OVERLOAD
@@ -127,7 +127,7 @@
 
 
 def test_an_estimate_above_every_machine_is_lowered_to_one(clock):
-    """Guards against sizes learned from a larger machine that fit on none of those left."""
+    """Guards against sizes learned on a larger machine that fit on none of the remaining ones."""
     scheduler = make_scheduler(clock, 2)
     for i in range(10):
         scheduler.submit(make_job(i))
--- a/tests/test_capacity_index.py
+++ b/tests/test_capacity_index.py
@@ -1,4 +1,4 @@
-"""Tests of the index over free capacity."""
+"""Tests of the index of upstreams by capacity."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -28,8 +28,8 @@
         if position < len(values):
             tree.set(position, value)
             values[position] = value
-    found = [i for i, value in enumerate(values) if i >= start and fits(amount, value)]
-    assert tree.first(amount, start) == (found[0] if found else -1)
+    fitting = [i for i, value in enumerate(values) if i >= start and fits(amount, value)]
+    assert tree.first(amount, start) == (fitting[0] if fitting else -1)
 
 
 def test_upstreams_without_accelerators_come_first_then_the_fastest():
@@ -41,19 +41,19 @@
 
 
 def test_left_out_upstreams_are_not_found_until_touched_again():
-    open_ids = set()
+    available_ids = set()
     index = CapacityIndex(
-        lambda u: (1, 1, 1, 1, 1) if u in open_ids else None, lambda _: None, lambda _: None
+        lambda u: (1, 1, 1, 1, 1) if u in available_ids else None, lambda _: None, lambda _: None
     )
     index.add(UpstreamShape(UpstreamId("u"), RackId("k"), Resources(1, 1)))
     assert index.by_speed.first((0, 0, 0, 0, 0)) == -1
-    open_ids.add("u")
+    available_ids.add("u")
     index.touch(UpstreamId("u"))
     assert index.by_speed.first((0, 0, 0, 0, 0)) == 0
 
 
 def test_a_search_visits_few_nodes_of_a_large_pool():
-    """Guards against scans: the fit is in the last of 4,096 leaves."""
+    """Guards against a linear scan: only the last of 4,096 positions fits."""
     tree = CapacityTree(4096)
     tree.fill([(1, 1, 0, 1, 1)] * 4095 + [(9, 9, 0, 9, 9)])
     visited = 0
--- a/tests/test_store_budget.py
+++ b/tests/test_store_budget.py
@@ -1,4 +1,4 @@
-"""Tests of the budget of store calls: rate, burst, order of renewals, refusal, counts."""
+"""Tests of the rate limit for store calls: rate, burst, priority of renewals, refusals, counts."""
 
 import asyncio
 from datetime import timedelta
@@ -12,7 +12,7 @@
 
 
 def test_calls_stay_within_rate_and_burst(store, clock, run):
-    # Guards the store's rates against one process that uses more than its share.
+    # Guards the store against a process that exceeds its share of the call rate.
     async def scenario():
         platform = BudgetedPlatform(store, clock, 10, burst=5, longest_wait=100 * SECOND)
         calls = [asyncio.create_task(platform.get("a")) for _ in range(100)]
@@ -31,7 +31,7 @@
 
 
 def test_renewals_go_before_waiting_calls_and_are_never_refused(store, clock, run):
-    # Guards the process lease: a backlog of journal writes must not let it expire.
+    # Guards against a process lease that expires behind a backlog of journal writes.
     async def scenario():
         platform = BudgetedPlatform(store, clock, 10, burst=1, longest_wait=2 * SECOND)
         lease = await store.grant_lease(6 * SECOND)
@@ -52,7 +52,7 @@
 
 
 def test_cancelled_calls_take_no_budget(store, clock, run):
-    # Guards the budget against callers that gave up while they waited.
+    # Guards against tokens spent on calls whose callers gave up while they waited.
     async def scenario():
         platform = BudgetedPlatform(store, clock, 1, burst=1, longest_wait=100 * SECOND)
         calls = [asyncio.create_task(platform.get("a")) for _ in range(10)]
