--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -14,9 +14,9 @@
 from hornbeamramp.job_queue import JobQueue
 from hornbeamramp.jobs import GangJob, ServiceJob
 from hornbeamramp.policies.base import PlacementPolicy, PlacementRequest
-from hornbeamramp.policies.gang import times_it_fits
+from hornbeamramp.policies.gang import fit_count
 from hornbeamramp.preemption import FailedSearches, plan_tasks
-from hornbeamramp.reservations import expected_room
+from hornbeamramp.reservations import predict_placements
 from hornbeamramp.resources import Resources
 from hornbeamramp.retries import DelayedRetries
 from hornbeamramp.shares import FairShares
@@ -170,7 +170,7 @@
             for i, have in enumerate(view.available(upstream_id)):
                 if have > highest[i]:
                     highest[i] = have
-        if self._holds.gangs:
+        if self._holds.gang_count:
             # Backfill may use what is free on held upstreams.
             for upstream_id in self._pool.touched:
                 for i, have in enumerate(self._ledger.free(upstream_id)):
@@ -195,7 +195,7 @@
             return True
         if self._health.quarantined:
             return True
-        return not state.is_service and self._holds.gangs > 0
+        return not state.is_service and self._holds.gang_count > 0
 
     def _serve(self, state: JobState, first_tier: bool, guaranteed: bool, now: float) -> bool:
         """Starts tasks of the job, or makes the queue skip it until capacity or quota is free.
@@ -299,7 +299,7 @@
             return False
         if not self._pool.may_probe(upstream_id):
             return False
-        if not times_it_fits(state.amount, self._ledger.free(upstream_id)):
+        if not fit_count(state.amount, self._ledger.free(upstream_id)):
             return False
         for attempt in self._start_all(state, self._take_tasks(state, 1), [upstream_id], now):
             attempt.probe = True
@@ -309,7 +309,7 @@
     # Holds
 
     def _backfill(self, state: JobState, now: float) -> list[UpstreamId] | None:
-        if not self._holds.gangs:
+        if not self._holds.gang_count:
             return None
         tried = 0
         for hold in self._holds.all:
@@ -322,7 +322,7 @@
                 speed = self._index.shape_by_id[upstream_id].speed
                 if now + state.run / speed > hold.start_at:
                     continue
-                if times_it_fits(state.amount, self._ledger.free(upstream_id)):
+                if fit_count(state.amount, self._ledger.free(upstream_id)):
                     return [upstream_id]
         return None
 
@@ -393,7 +393,7 @@
         for hold in self._holds.all:
             if hold.gang and (hold.state.job.band == Band.URGENT) == urgent:
                 return False
-        slots = expected_room(self._pool, self._tasks, state, count, now)
+        slots = predict_placements(self._pool, self._tasks, state, count, now)
         if len(slots) < count:
             return False
         slots = slots[:count]
--- a/hornbeamramp/job_queue.py
+++ b/hornbeamramp/job_queue.py
@@ -149,7 +149,7 @@
         if not self._fair:
             return best and (*best, False)
         for band in GUARANTEED_SHARE:
-            if (best is None or band > best[0].job.band) and self._credit.may_be_owed(band):
+            if (best is None or band > best[0].job.band) and self._credit.may_cover(band):
                 guaranteed = self._next_guaranteed(band, now, may_fit)
                 if guaranteed is not None:
                     return (*guaranteed, True)
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -16,7 +16,7 @@
     Cancellation,
     CancellationKind,
     Decision,
-    Ended,
+    EndEffect,
     Refusal,
     SchedulerStatus,
     Stop,
@@ -163,7 +163,7 @@
             self._reserve_unknown(upstream_id, attempt_id, job.resources, float("inf"))
             return
         self._upstreams.know(upstream_id)
-        held = self._upstreams.ledger.hold(upstream_id, attempt_id, job.resources)
+        held = self._upstreams.ledger.reserve_unchecked(upstream_id, attempt_id, job.resources)
         reservation = held.unwrap()
         if epoch == self._epoch:
             state.attempt_number_by_task = (state.attempt_number_by_task or {}) | {task: number}
@@ -210,7 +210,7 @@
         admitted = self._admission.admit(job, state.flow, self._estimate(job), parked)
         return admitted.err_value if isinstance(admitted, Err) else None
 
-    def reconcile_adopted(self, job_id: JobId, done: Collection[int]) -> Ended:
+    def reconcile_adopted(self, job_id: JobId, done: Collection[int]) -> EndEffect:
         """Ends the adoption of a job: handles its tasks that no upstream runs any more.
 
         To be called once the attempts on all upstreams have been listed. ``done`` are the tasks
@@ -219,7 +219,7 @@
         """
         state = self._tasks.job_by_id.get(job_id)
         if state is None or not state.adopted:
-            return Ended.IGNORED
+            return EndEffect.IGNORED
         state.adopted = False
         live = state.live_by_task or {}
         missing = [t for t in range(state.job.tasks) if t not in live and t not in done]
@@ -291,7 +291,9 @@
         attempt.throttled_to = None
         self._ends.update_shares(attempt, self._now())
 
-    def ended(self, attempt_id: AttemptId, end: TaskEnd, usage: Resources | None = None) -> Ended:
+    def ended(
+        self, attempt_id: AttemptId, end: TaskEnd, usage: Resources | None = None
+    ) -> EndEffect:
         """Reports the end of an attempt, frees its capacity and returns what follows for its job.
 
         `usage`
@@ -301,7 +303,7 @@
         attempt = self._tasks.attempt_by_id.get(attempt_id)
         if attempt is None:
             self._release_unknown(attempt_id)
-            return Ended.IGNORED
+            return EndEffect.IGNORED
         return self._ends.end(attempt, end, usage, now)
 
     def report_usage(self, attempt_id: AttemptId, usage: Resources) -> None:
@@ -364,7 +366,7 @@
         state = JobState(job, flow, self._sequence, now)
         expectation = self._estimate(job)
         state.run = expectation.run
-        state.amount = self._admission.size(job, flow, expectation.amount)
+        state.amount = self._admission.feasible_size(job, flow, expectation.amount)
         return state
 
     def _register(self, state: JobState) -> None:
@@ -391,7 +393,7 @@
         if attempt_id in self._unknown_reservation_by_id or attempt_id in self._tasks.attempt_by_id:
             return
         self._upstreams.know(upstream_id)
-        held = self._upstreams.ledger.hold(upstream_id, attempt_id, resources)
+        held = self._upstreams.ledger.reserve_unchecked(upstream_id, attempt_id, resources)
         self._unknown_reservation_by_id[attempt_id] = held.unwrap()
         heapq.heappush(self._unknown_expiry_heap, (until, attempt_id))
 
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -144,10 +144,10 @@
         self._host_demand.learn(host, weight)
         route_use.mean += host.mean
         route_use.variance += host.variance
-        self._host_demand.recap(host)
+        self._host_demand.update_capped(host)
         if flow.accelerators.share or flow.accelerators.mean:
             self._accelerator_demand.learn(flow.accelerators, weight)
-            self._accelerator_demand.recap(flow.accelerators)
+            self._accelerator_demand.update_capped(flow.accelerators)
 
     def headroom(self, flow: Flow) -> float:
         """Returns the share of the pool that the flow must leave free for others' demand."""
@@ -214,7 +214,7 @@
         limit = max(
             1.0
             - SERVICE_HEADROOM_FACTOR
-            * self._host_demand.beyond(route_use.mean, route_use.variance),
+            * self._host_demand.demand_excluding(route_use.mean, route_use.variance),
             0.0,
         )
         if route_use.share + self.share_of(amount) > max(limit, route_use.claim()) + TOLERANCE:
@@ -232,12 +232,12 @@
             return True
         count += flow.gang_tasks
         host = self._host_share(amount) * count
-        if host + self._host_demand.without(flow.host) > 1.0 + TOLERANCE:
+        if host + self._host_demand.demand_of_others(flow.host) > 1.0 + TOLERANCE:
             return False
         if not amount[2]:
             return True
         own = amount[2] * count / (self.total[2] or 1)
-        return own + self._accelerator_demand.without(flow.accelerators) <= 1.0 + TOLERANCE
+        return own + self._accelerator_demand.demand_of_others(flow.accelerators) <= 1.0 + TOLERANCE
 
     def prune(self, now: float) -> None:
         """Removes flows without use, unfinished jobs or demand, and rounding errors of the sums."""
@@ -267,10 +267,10 @@
             used[4] += sign * amount[4]
         account.share = self._share(account.used)
         self._set_shares(flow)
-        self._host_demand.recap(flow.host)
+        self._host_demand.update_capped(flow.host)
         self._update_excess(flow.account.band, flow.route_use)
         if amount[2]:
-            self._accelerator_demand.recap(flow.accelerators)
+            self._accelerator_demand.update_capped(flow.accelerators)
 
     def note_stopping(self, flow: Flow, share: float) -> None:
         """Adds to the share of tasks that were told to stop; negative once they have ended."""
@@ -305,8 +305,8 @@
         for (band, _), route_use in self._route_use_by_key.items():
             self._update_excess(band, route_use)
         self._excess = sum(route_use.excess for route_use in self._route_use_by_key.values())
-        self._host_demand.sum_up([flow.host for flow in flows])
-        self._accelerator_demand.sum_up([flow.accelerators for flow in flows])
+        self._host_demand.recompute([flow.host for flow in flows])
+        self._accelerator_demand.recompute([flow.accelerators for flow in flows])
 
     def _host_share(self, used: Vector | list[int]) -> float:
         capacity = self.total
