--- a/hornbeamramp/caller_api.py
+++ b/hornbeamramp/caller_api.py
@@ -39,7 +39,7 @@
 
 __all__ = ["JobBody", "RequestCount", "caller_app"]
 
-KEY_LIMIT = 200
+MAX_KEY_LENGTH = 200
 JOB_TYPE_BY_KIND = {
     JobKind.BATCH: BatchJob,
     JobKind.SERVICE: ServiceJob,
@@ -51,12 +51,12 @@
 
 
 class JobBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Body of ``POST /v1/jobs``. What is left out is taken from the route.
+    """Body of ``POST /v1/jobs``. Defaults for absent resources and run time come from the route.
 
     `payload`
-        Any JSON value; passed to the upstream as it is.
+        Any JSON value; passed to the upstream unchanged.
     `deadline_ms`
-        Time in milliseconds after which the job is not started any more.
+        Time in milliseconds after which the job is no longer started.
     """
 
     route: RouteName
@@ -78,7 +78,7 @@
 
 
 class RequestCount:
-    """Number of submits in flight."""
+    """Number of submit requests in flight."""
 
     def __init__(self) -> None:
         self.count = 0
@@ -91,17 +91,17 @@
     forwarder: Forwarder,
     tables: Callable[[], Tables],
     is_ready: Callable[[], bool],
-    refuses: Callable[[], bool],
+    is_shutting_down: Callable[[], bool],
 ) -> tuple[Sanic, RequestCount]:
-    """Returns the application of the listener for callers and its count of submits in flight.
+    """Returns the application of the callers' listener and its count of submits in flight.
 
     `is_ready`
-        Whether the balancer may send requests here.
-    `refuses`
-        Whether new jobs are turned away because the process shuts down.
+        Whether the load balancer may send requests to this VM.
+    `is_shutting_down`
+        Whether the process is shutting down and rejects new jobs.
     """
     app = new_app(f"callers-{settings.vm}", settings.limits)
-    api = _CallerApi(settings, clock, metrics, forwarder, tables, is_ready, refuses)
+    api = _CallerApi(settings, clock, metrics, forwarder, tables, is_ready, is_shutting_down)
     app.add_route(api.submit, "/v1/jobs", methods=["POST"])
     app.add_route(api.get, "/v1/jobs/<job_id:str>", methods=["GET"])
     app.add_route(api.cancel, "/v1/jobs/<job_id:str>", methods=["DELETE"])
@@ -120,7 +120,7 @@
         forwarder: Forwarder,
         tables: Callable[[], Tables],
         is_ready: Callable[[], bool],
-        refuses: Callable[[], bool],
+        is_shutting_down: Callable[[], bool],
     ) -> None:
         self._settings = settings
         self._clock = clock
@@ -128,12 +128,12 @@
         self._forwarder = forwarder
         self._tables = tables
         self._is_ready = is_ready
-        self._refuses = refuses
+        self._is_shutting_down = is_shutting_down
         self.requests = RequestCount()
 
     async def submit(self, request: Request) -> HTTPResponse:
         """``POST /v1/jobs``."""
-        if self._refuses():
+        if self._is_shutting_down():
             return _refusal(RefusalReason.SHUTTING_DOWN, "this VM is shutting down", 1)
         if self.requests.count >= self._settings.limits.waiting_requests:
             return _refusal(RefusalReason.OVERLOAD, "too many requests wait on this VM", 1)
@@ -149,25 +149,25 @@
         self._metrics.requests.add(1, {"route": route, "outcome": label})
         elapsed = self._clock.boot_time() - started_at
         self._metrics.request_time.record(elapsed.total_seconds(), {"route": route})
-        if self._refuses():
-            # The connection must not be reused for a request that would be turned away.
+        if self._is_shutting_down():
+            # A further request on this connection would be rejected.
             response.headers["Connection"] = "close"
         return response
 
     async def get(self, request: Request, job_id: str) -> HTTPResponse:
         """``GET /v1/jobs/{id}``."""
         if shard_of(JobId(job_id)) is None:
-            return _no_job(job_id)
+            return _job_not_found(job_id)
         reply = await self._forwarder.get_job(JobId(job_id))
         return _job_response(JobId(job_id), reply.state, reply.outcome)
 
     async def cancel(self, request: Request, job_id: str) -> HTTPResponse:
         """``DELETE /v1/jobs/{id}``."""
         if shard_of(JobId(job_id)) is None:
-            return _no_job(job_id)
+            return _job_not_found(job_id)
         reply = await self._forwarder.cancel(JobId(job_id))
         if reply.state is None:
-            return _no_job(job_id)
+            return _job_not_found(job_id)
         return json_response({"id": job_id, "state": reply.state.value}, status=HTTPStatus.ACCEPTED)
 
     async def live(self, request: Request) -> HTTPResponse:
@@ -181,14 +181,14 @@
         return json_response({"ready": ready}, status=status)
 
     async def _submit(self, request: Request) -> tuple[HTTPResponse, str, str]:
-        """Returns the response, the outcome's label and the route for the metrics."""
+        """Returns the response, and the outcome label and route name for the metrics."""
         try:
             body = msgspec.json.decode(request.body, type=JobBody)
         except msgspec.MsgspecError as error:
             return _refusal(RefusalReason.MALFORMED, str(error)), "not_run", ""
         key = request.headers.get("idempotency-key")
-        if key is not None and not (1 <= len(key) <= KEY_LIMIT and key.isascii()):
-            detail = f"Idempotency-Key must have from 1 to {KEY_LIMIT} ASCII characters"
+        if key is not None and not (1 <= len(key) <= MAX_KEY_LENGTH and key.isascii()):
+            detail = f"Idempotency-Key must have from 1 to {MAX_KEY_LENGTH} ASCII characters"
             return _refusal(RefusalReason.MALFORMED, detail), "not_run", ""
         tables = self._tables()
         route = tables.route_by_name.get(body.route)
@@ -196,7 +196,7 @@
             detail = f"no route named {body.route!r}"
             return _refusal(RefusalReason.UNKNOWN_ROUTE, detail), "not_run", ""
         respond_async = "respond-async" in request.headers.get("prefer", "")
-        job = _job(body, route, key, respond_async)
+        job = _job_from_body(body, route, key, respond_async)
         request.ctx.forwarded = True
         reply = await self._forwarder.submit(job, tables.pool_by_name[route.pool])
         if reply.accepted is not None:
@@ -205,7 +205,7 @@
         return response, label, route.name
 
 
-def _job(body: JobBody, route: Route, key: str | None, asynchronous: bool) -> Job:
+def _job_from_body(body: JobBody, route: Route, key: str | None, asynchronous: bool) -> Job:
     deadline = None if body.deadline_ms is None else timedelta(milliseconds=body.deadline_ms)
     return JOB_TYPE_BY_KIND[route.kind](
         id=JobId(""),
@@ -218,7 +218,7 @@
         payload=bytes(body.payload),
         deadline=deadline,
         declared_run=timedelta(milliseconds=body.run_ms or route.run_ms),
-        # A route marked non-idempotent stays so, whatever the caller says.
+        # The caller cannot declare a job idempotent on a route that is not.
         idempotent=route.idempotent and body.idempotent is not False,
         asynchronous=asynchronous,
         key=key,
@@ -244,7 +244,7 @@
     if isinstance(outcome, Unknown):
         return unknown_response(outcome)
     if state is None:
-        return _no_job(job_id)
+        return _job_not_found(job_id)
     return json_response({"id": job_id, "state": state.value})
 
 
@@ -265,7 +265,7 @@
     return {"upstream": result.upstream_id, **payload}
 
 
-def _no_job(job_id: str) -> HTTPResponse:
+def _job_not_found(job_id: str) -> HTTPResponse:
     return problem(HTTPStatus.NOT_FOUND, f"no job {job_id}")
 
 
@@ -283,13 +283,13 @@
 
 
 def _on_exception(request: Request, error: Exception) -> HTTPResponse:
-    # Before the job was handed to the forwarder, nothing can have run.
-    started = getattr(request.ctx, "forwarded", False)
-    outcome = "unknown" if started else "not_run"
+    # The job cannot have run if it was not yet handed to the forwarder.
+    was_forwarded = getattr(request.ctx, "forwarded", False)
+    outcome = "unknown" if was_forwarded else "not_run"
     if isinstance(error, SanicException):
         return http_problem(error, outcome)
     extra = {"outcome": outcome} if request.method == "POST" else {}
     if isinstance(error, SchedulerError):
         return problem(HTTPStatus.SERVICE_UNAVAILABLE, str(error), {"Retry-After": "1"}, **extra)
-    _log.error("a request failed: {!r}", error)
+    _log.error("unhandled exception in a caller request: {!r}", error)
     return problem(HTTPStatus.INTERNAL_SERVER_ERROR, "internal error", **extra)
--- a/hornbeamramp/problems.py
+++ b/hornbeamramp/problems.py
@@ -39,16 +39,16 @@
     headers: dict[str, str] | None = None,
     **extra: Any,
 ) -> HTTPResponse:
-    """Returns a response with a problem document; ``extra`` are further members of it."""
+    """Returns a response with a problem document; ``extra`` holds its additional members."""
     body = {"type": "about:blank", "title": status.phrase, "status": status, "detail": detail}
     body.update(extra)
     return json_response(body, status=status, headers=headers, content_type=CONTENT_TYPE)
 
 
 def http_problem(error: SanicException, outcome: str) -> HTTPResponse:
-    """Returns the response for an error of the HTTP layer. The connection is closed after it.
+    """Returns the response for an error of the HTTP layer and closes the connection after it.
 
-    Part of a refused request may still be unread on the connection.
+    Part of the rejected request may still be unread on the connection.
     """
     headers = {**(error.headers or {}), "Connection": "close"}
     status = HTTPStatus(error.status_code)
@@ -59,7 +59,7 @@
 
 def not_run_response(outcome: NotRun) -> HTTPResponse:
     """Returns the response for a job that did not run."""
-    headers = _retry_after(outcome.retry_after)
+    headers = _retry_after_headers(outcome.retry_after)
     return problem(
         STATUS_BY_REASON[outcome.reason],
         outcome.detail,
@@ -71,11 +71,11 @@
 
 
 def unknown_response(outcome: Unknown) -> HTTPResponse:
-    """Returns the response for a job of which can't be told whether it ran."""
+    """Returns the response for a job that may or may not have run."""
     return problem(HTTPStatus.BAD_GATEWAY, outcome.detail, outcome="unknown", job=outcome.job_id)
 
 
-def _retry_after(wait: timedelta | None) -> dict[str, str] | None:
+def _retry_after_headers(wait: timedelta | None) -> dict[str, str] | None:
     if wait is None:
         return None
     return {"Retry-After": str(max(1, round(wait.total_seconds())))}
