--- a/hornbeamramp/upstream_health.py
+++ b/hornbeamramp/upstream_health.py
@@ -1,4 +1,4 @@
-"""Health of upstreams: failure scores, quarantine, probes and faulty jobs."""
+"""Health of upstreams: failure rates, quarantine, probes and faulty jobs."""
 
 from collections import OrderedDict
 
@@ -6,210 +6,216 @@
 
 __all__ = ["UpstreamHealth"]
 
-# Largest share of a pool in quarantine.
-QUARANTINE_SHARE = 0.2
-# Failures and starts are counted with this half-life, in seconds.
-HALF_LIFE = 120.0
-# Fewer failures than this are no evidence against an upstream.
-LEAST_FAILURES = 3.0
-# An upstream is suspect if it fails this many times as often as the rest of the pool, and at
-# least this share of its tasks.
+# Fraction of a pool that may be in quarantine at the same time.
+MAX_QUARANTINED_FRACTION = 0.2
+# Counts of failed and ended tasks decay with this half-life.
+HALF_LIFE_S = 120.0
+# An upstream with fewer failures than this is not suspect.
+MIN_FAILURES = 3.0
+# An upstream is suspect if its failure rate is at least this many times that of the rest of the
+# pool, and at least `MIN_FAILURE_RATE`.
 BASELINE_FACTOR = 4.0
-LEAST_RATE = 0.5
-FIRST_BACK_OFF = 5.0
-LONGEST_BACK_OFF = 300.0
-# Distinct upstreams on which a job fails before the job itself is held at fault.
+MIN_FAILURE_RATE = 0.5
+MIN_BACKOFF_S = 5.0
+MAX_BACKOFF_S = 300.0
+# Number of distinct upstreams on which a job must fail to be considered faulty itself.
 FAULTY_JOB_UPSTREAMS = 3
-# Failed jobs whose failures can still be taken back.
-REMEMBERED_JOBS = 10_000
+# Number of failed jobs whose failures can still be retracted.
+MAX_TRACKED_JOBS = 10_000
 
 
-class _Record:
-    __slots__ = ("back_off", "ends", "failures", "probe_at", "probing", "updated")
+class _FailureStats:
+    __slots__ = ("backoff", "ends", "failures", "probe_at", "probing", "updated_at")
 
     def __init__(self, now: float) -> None:
         self.ends = 0.0
         self.failures = 0.0
-        self.updated = now
-        self.back_off = 0.0
+        self.updated_at = now
+        self.backoff = 0.0
         self.probe_at: float | None = None
         self.probing = False
 
     def decay(self, now: float) -> None:
-        if now > self.updated:
-            factor = 0.5 ** ((now - self.updated) / HALF_LIFE)
+        if now > self.updated_at:
+            factor = 0.5 ** ((now - self.updated_at) / HALF_LIFE_S)
             self.ends *= factor
             self.failures *= factor
-            self.updated = now
+            self.updated_at = now
 
 
 class UpstreamHealth:
-    """Decides which upstreams receive no work because tasks fail on them.
+    """Quarantines upstreams on which tasks fail, so that they receive no work except probes.
 
     Times are seconds of boot time. `quarantined` holds the upstreams in quarantine in the order
     in which they entered it.
     """
 
     def __init__(self) -> None:
-        self._record_by_id: dict[UpstreamId, _Record] = {}
-        self._pool = _Record(0.0)
-        # The time of a failure that is counted against the upstream, otherwise None.
-        self._failed_on: OrderedDict[JobId, dict[UpstreamId, float | None]] = OrderedDict()
+        self._stats_by_id: dict[UpstreamId, _FailureStats] = {}
+        self._pool_stats = _FailureStats(0.0)
+        # The value is the time of a failure counted against the upstream, `None` if not counted.
+        self._failures_by_job: OrderedDict[JobId, dict[UpstreamId, float | None]] = OrderedDict()
         self.quarantined: dict[UpstreamId, None] = {}
 
     def add(self, upstream_id: UpstreamId, now: float) -> None:
-        """Adds an upstream; keeps the record of a known one."""
-        self._record_by_id.setdefault(upstream_id, _Record(now))
+        """Adds an upstream; keeps the statistics of a known one."""
+        self._stats_by_id.setdefault(upstream_id, _FailureStats(now))
 
     def remove(self, upstream_id: UpstreamId) -> None:
-        """Forgets an upstream. May leave more than the allowed share; the oldest are released."""
-        self._record_by_id.pop(upstream_id, None)
+        """Removes an upstream.
+
+        The allowed fraction may then be exceeded; call `release_excess` afterwards.
+        """
+        self._stats_by_id.pop(upstream_id, None)
         self.quarantined.pop(upstream_id, None)
 
-    def over_limit(self) -> list[UpstreamId]:
-        """Releases upstreams beyond the allowed share, longest in quarantine first."""
+    def release_excess(self) -> list[UpstreamId]:
+        """Releases upstreams beyond the allowed fraction, longest in quarantine first.
+
+        Returns the released upstreams.
+        """
         released = []
-        while len(self.quarantined) > self._limit():
+        while len(self.quarantined) > self._max_quarantined():
             upstream_id = next(iter(self.quarantined))
             self._release(upstream_id)
             released.append(upstream_id)
         return released
 
     def succeeded(self, upstream_id: UpstreamId, now: float) -> bool:
-        """Notes a task that succeeded. Returns whether the upstream left quarantine."""
-        record = self._record_by_id.get(upstream_id)
-        self._pool.decay(now)
-        self._pool.ends += 1
-        if record is None:
+        """Records a task that succeeded. Returns whether the upstream left quarantine."""
+        stats = self._stats_by_id.get(upstream_id)
+        self._pool_stats.decay(now)
+        self._pool_stats.ends += 1
+        if stats is None:
             return False
-        record.decay(now)
-        record.ends += 1
-        if upstream_id not in self.quarantined or not record.probing:
+        stats.decay(now)
+        stats.ends += 1
+        if upstream_id not in self.quarantined or not stats.probing:
             return False
         self._release(upstream_id)
         return True
 
     def failed(self, upstream_id: UpstreamId, job_id: JobId | None, now: float) -> bool:
-        """Notes a failed task. Returns whether the upstream entered quarantine.
+        """Records a failed task. Returns whether the upstream entered quarantine.
 
         `job_id`
-            The job that may be at fault itself, or ``None``. A job counts once against an
-            upstream however often it fails there.
+            The job that may be faulty itself, or ``None``. Repeated failures of a job on the same
+            upstream count once.
         """
         repeated = False
         if job_id is not None:
-            failed_on = self._failed_on.setdefault(job_id, {})
-            if len(self._failed_on) > REMEMBERED_JOBS:
-                self._failed_on.popitem(last=False)
-            repeated = upstream_id in failed_on
-            failed_on.setdefault(upstream_id, None)
-        record = self._record_by_id.get(upstream_id)
-        if record is None:
+            failed_at_by_upstream = self._failures_by_job.setdefault(job_id, {})
+            if len(self._failures_by_job) > MAX_TRACKED_JOBS:
+                self._failures_by_job.popitem(last=False)
+            repeated = upstream_id in failed_at_by_upstream
+            failed_at_by_upstream.setdefault(upstream_id, None)
+        stats = self._stats_by_id.get(upstream_id)
+        if stats is None:
             return False
-        record.decay(now)
+        stats.decay(now)
         if upstream_id in self.quarantined:
-            if record.probing:
-                self._back_off(record, now)
+            if stats.probing:
+                self._schedule_probe(stats, now)
             return False
         if repeated:
             return False
         if job_id is not None:
-            failed_on[upstream_id] = now
-        self._pool.decay(now)
-        for counts in (record, self._pool):
+            failed_at_by_upstream[upstream_id] = now
+        self._pool_stats.decay(now)
+        for counts in (stats, self._pool_stats):
             counts.ends += 1
             counts.failures += 1
-        if not self._suspect(record) or len(self.quarantined) >= self._limit():
+        if not self._is_suspect(stats) or len(self.quarantined) >= self._max_quarantined():
             return False
         self.quarantined[upstream_id] = None
-        self._back_off(record, now)
+        self._schedule_probe(stats, now)
         return True
 
     def note_failed_on(self, upstream_id: UpstreamId, job_id: JobId) -> None:
-        """Notes that a job failed on an upstream without counting it against the upstream."""
-        self._failed_on.setdefault(job_id, {}).setdefault(upstream_id, None)
+        """Records that a job failed on an upstream without counting it against the upstream."""
+        self._failures_by_job.setdefault(job_id, {}).setdefault(upstream_id, None)
 
     def is_faulty(self, job_id: JobId) -> bool:
-        """Tells whether the job failed on so many upstreams that it is itself at fault."""
-        return len(self._failed_on.get(job_id, ())) >= FAULTY_JOB_UPSTREAMS
+        """Returns whether the job failed on so many upstreams that it is considered faulty."""
+        return len(self._failures_by_job.get(job_id, ())) >= FAULTY_JOB_UPSTREAMS
 
     def acquit(self, job_id: JobId, now: float) -> list[UpstreamId]:
-        """Takes back the failures of a faulty job. Returns upstreams that left quarantine."""
+        """Retracts the failures of a faulty job. Returns the upstreams that left quarantine."""
         released = []
-        for upstream_id, at in self._failed_on.pop(job_id, {}).items():
-            if at is None:
+        for upstream_id, failed_at in self._failures_by_job.pop(job_id, {}).items():
+            if failed_at is None:
                 continue
-            weight = 0.5 ** ((now - at) / HALF_LIFE)
-            self._pool.decay(now)
-            self._pool.failures = max(self._pool.failures - weight, 0.0)
-            record = self._record_by_id.get(upstream_id)
-            if record is None:
+            weight = 0.5 ** ((now - failed_at) / HALF_LIFE_S)
+            self._pool_stats.decay(now)
+            self._pool_stats.failures = max(self._pool_stats.failures - weight, 0.0)
+            stats = self._stats_by_id.get(upstream_id)
+            if stats is None:
                 continue
-            record.decay(now)
-            record.failures = max(record.failures - weight, 0.0)
-            if upstream_id in self.quarantined and not self._suspect(record):
+            stats.decay(now)
+            stats.failures = max(stats.failures - weight, 0.0)
+            if upstream_id in self.quarantined and not self._is_suspect(stats):
                 self._release(upstream_id)
                 released.append(upstream_id)
         return released
 
     def forget_job(self, job_id: JobId) -> None:
-        """Drops what is kept about a job that ended; its failures stay counted."""
-        self._failed_on.pop(job_id, None)
+        """Removes the state of a job that ended; its failures stay counted."""
+        self._failures_by_job.pop(job_id, None)
 
     def due_probe(self, now: float) -> UpstreamId | None:
         """Returns an upstream in quarantine that is due for a probe, if any."""
         for upstream_id in self.quarantined:
-            record = self._record_by_id[upstream_id]
-            if not record.probing and record.probe_at is not None and record.probe_at <= now:
+            stats = self._stats_by_id[upstream_id]
+            if not stats.probing and stats.probe_at is not None and stats.probe_at <= now:
                 return upstream_id
         return None
 
     def probe_started(self, upstream_id: UpstreamId) -> None:
-        """Notes that one task was placed as a probe."""
-        self._record_by_id[upstream_id].probing = True
+        """Records that a task was placed as a probe."""
+        self._stats_by_id[upstream_id].probing = True
 
     def probe_ended(self, upstream_id: UpstreamId, now: float) -> None:
-        """Notes a probe that ended without a result; another is due at once."""
-        record = self._record_by_id.get(upstream_id)
-        if record is not None and record.probing:
-            record.probing = False
-            record.probe_at = now
-
-    def score(self, upstream_id: UpstreamId) -> tuple[float, float]:
-        """Returns the failure rate of an upstream and that of the pool, each from 0 to 1."""
-        record = self._record_by_id[upstream_id]
-        return _rate(record), _rate(self._pool)
-
-    def _limit(self) -> int:
-        return int(len(self._record_by_id) * QUARANTINE_SHARE)
-
-    def _suspect(self, record: _Record) -> bool:
-        if record.failures < LEAST_FAILURES * 0.9 or _rate(record) < LEAST_RATE:
+        """Records a probe that ended without a result; another is due at once."""
+        stats = self._stats_by_id.get(upstream_id)
+        if stats is not None and stats.probing:
+            stats.probing = False
+            stats.probe_at = now
+
+    def failure_rates(self, upstream_id: UpstreamId) -> tuple[float, float]:
+        """Returns the failure rates of an upstream and of the pool, each from 0 to 1."""
+        stats = self._stats_by_id[upstream_id]
+        return _failure_rate(stats), _failure_rate(self._pool_stats)
+
+    def _max_quarantined(self) -> int:
+        return int(len(self._stats_by_id) * MAX_QUARANTINED_FRACTION)
+
+    def _is_suspect(self, stats: _FailureStats) -> bool:
+        if stats.failures < MIN_FAILURES * 0.9 or _failure_rate(stats) < MIN_FAILURE_RATE:
             return False
-        others = _Record(0.0)
-        others.ends = self._pool.ends - record.ends
-        others.failures = self._pool.failures - record.failures
+        others = _FailureStats(0.0)
+        others.ends = self._pool_stats.ends - stats.ends
+        others.failures = self._pool_stats.failures - stats.failures
         if others.ends < 1.0:
             return True
-        baseline = _rate(others)
-        if baseline >= LEAST_RATE:
-            # Tasks fail everywhere: the cause is not in single upstreams.
+        baseline = _failure_rate(others)
+        if baseline >= MIN_FAILURE_RATE:
+            # Tasks fail throughout the pool, so the cause is not a single upstream.
             return False
-        return _rate(record) >= min(BASELINE_FACTOR * baseline, 0.9)
+        return _failure_rate(stats) >= min(BASELINE_FACTOR * baseline, 0.9)
 
     def _release(self, upstream_id: UpstreamId) -> None:
         del self.quarantined[upstream_id]
-        record = self._record_by_id[upstream_id]
-        record.failures = record.ends = record.back_off = 0.0
-        record.probe_at = None
-        record.probing = False
+        stats = self._stats_by_id[upstream_id]
+        stats.failures = stats.ends = stats.backoff = 0.0
+        stats.probe_at = None
+        stats.probing = False
 
     @staticmethod
-    def _back_off(record: _Record, now: float) -> None:
-        record.back_off = min(max(record.back_off * 2, FIRST_BACK_OFF), LONGEST_BACK_OFF)
-        record.probe_at = now + record.back_off
-        record.probing = False
+    def _schedule_probe(stats: _FailureStats, now: float) -> None:
+        stats.backoff = min(max(stats.backoff * 2, MIN_BACKOFF_S), MAX_BACKOFF_S)
+        stats.probe_at = now + stats.backoff
+        stats.probing = False
 
 
-def _rate(record: _Record) -> float:
-    return max(record.failures, 0.0) / record.ends if record.ends > 0 else 0.0
+def _failure_rate(stats: _FailureStats) -> float:
+    return max(stats.failures, 0.0) / stats.ends if stats.ends > 0 else 0.0
--- a/hornbeamramp/upstream_pool.py
+++ b/hornbeamramp/upstream_pool.py
@@ -64,7 +64,7 @@
         """Removes an upstream and all reservations on it."""
         self.index.remove(upstream_id)
         self.health.remove(upstream_id)
-        for released in self.health.over_limit():
+        for released in self.health.release_excess():
             self.capacity_changed(released)
         self.ledger.remove_upstream(upstream_id)
         self._leaving.discard(upstream_id)
@@ -152,7 +152,7 @@
                 state = UpstreamState.LEAVING
             elif upstream_id in self.health.quarantined:
                 state = UpstreamState.QUARANTINED
-                own, pool = self.health.score(upstream_id)
+                own, pool = self.health.failure_rates(upstream_id)
                 reason = f"failure rate {own:.2f}, pool {pool:.2f}"
             free = Resources(*self.ledger.free(upstream_id))
             tasks = self.ledger.count(upstream_id)
--- a/tests/test_upstream_health.py
+++ b/tests/test_upstream_health.py
@@ -50,7 +50,7 @@
     fail(health, UpstreamId("u0"))
     for i in range(2, 8):
         health.remove(UpstreamId(f"u{i}"))
-    assert health.over_limit() == ["u0"]
+    assert health.release_excess() == ["u0"]
     assert not health.quarantined
 
 
