--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -174,7 +174,7 @@
             self._pool.capacity_changed(upstream_id)
         if end is not TaskEnd.FAILED or not health.is_faulty(job_id):
             return False
-        for released in health.acquit(job_id, now):
+        for released in health.retract_failures(job_id, now):
             self._pool.capacity_changed(released)
         return True
 
--- a/hornbeamramp/upstream_health.py
+++ b/hornbeamramp/upstream_health.py
@@ -139,7 +139,7 @@
         """Returns whether the job failed on so many upstreams that it is considered faulty."""
         return len(self._failures_by_job.get(job_id, ())) >= FAULTY_JOB_UPSTREAMS
 
-    def acquit(self, job_id: JobId, now: float) -> list[UpstreamId]:
+    def retract_failures(self, job_id: JobId, now: float) -> list[UpstreamId]:
         """Retracts the failures of a faulty job. Returns the upstreams that left quarantine."""
         released = []
         for upstream_id, failed_at in self._failures_by_job.pop(job_id, {}).items():
--- a/tests/test_upstream_health.py
+++ b/tests/test_upstream_health.py
@@ -86,7 +86,7 @@
         health.failed(UpstreamId(f"u{i}"), JobId("bad"), 1.0)
     assert health.is_faulty(JobId("bad"))
     quarantined = set(health.quarantined)
-    released = set(health.acquit(JobId("bad"), 1.0))
+    released = set(health.retract_failures(JobId("bad"), 1.0))
     assert quarantined == released
     assert not health.quarantined
 
