--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -159,7 +159,7 @@
             # Two attempts of one task: the other's end decides, this one only holds capacity.
             self._hold(upstream_id, attempt_id, job.resources, float("inf"))
             return
-        self._upstreams.know(upstream_id)
+        self._upstreams.add_placeholder(upstream_id)
         held = self._upstreams.ledger.hold(upstream_id, attempt_id, job.resources)
         reservation = held.unwrap()
         if epoch == self._epoch:
@@ -387,7 +387,7 @@
     ) -> None:
         if attempt_id in self._unknown or attempt_id in self._tasks.attempt_by_id:
             return
-        self._upstreams.know(upstream_id)
+        self._upstreams.add_placeholder(upstream_id)
         held = self._upstreams.ledger.hold(upstream_id, attempt_id, resources)
         self._unknown[attempt_id] = held.unwrap()
         heapq.heappush(self._unknown_ends, (until, attempt_id))
--- a/hornbeamramp/upstream_pool.py
+++ b/hornbeamramp/upstream_pool.py
@@ -49,7 +49,7 @@
         self._stale = True
         self.ledger.set_capacity(shape.id, shape.resources)
 
-    def know(self, upstream_id: UpstreamId) -> None:
+    def add_placeholder(self, upstream_id: UpstreamId) -> None:
         """Opens an account without capacity for an upstream whose shape is not known yet."""
         if upstream_id not in self.ledger:
             self.ledger.set_capacity(upstream_id, ZERO)
