--- a/hornbeamramp/preemption.py
+++ b/hornbeamramp/preemption.py
@@ -97,7 +97,7 @@
             # Urgent work beyond its own learned demand takes no room within that of others; it may
             # be the start of a flood.
             attempts = [a for a in attempts if _is_beyond(a.state.flow, beyond_by_flow)]
-        free = pool.unheld_soon(upstream_id)
+        free = pool.unheld_with_pending_releases(upstream_id)
         loss = 0.0
         for plan in plan_upstream(upstream_id, amount, count, free, attempts, shares.share_of, now):
             # Later plans on an upstream rest on earlier ones.
--- a/hornbeamramp/upstream_pool.py
+++ b/hornbeamramp/upstream_pool.py
@@ -129,7 +129,7 @@
             return free
         return tuple(a - b for a, b in zip(free, held, strict=True))  # type: ignore[return-value]
 
-    def unheld_soon(self, upstream_id: UpstreamId) -> Vector:
+    def unheld_with_pending_releases(self, upstream_id: UpstreamId) -> Vector:
         """Returns `unheld` and what tasks take that were ordered to end or to throttle.
 
         Tasks whose end is overdue are not counted on.
@@ -172,7 +172,7 @@
     def _reclaimable(self, upstream_id: UpstreamId) -> Vector | None:
         if not self.usable(upstream_id):
             return None
-        sums = list(self.unheld_soon(upstream_id))
+        sums = list(self.unheld_with_pending_releases(upstream_id))
         for attempt in self._tasks.on_upstream(upstream_id):
             amount = attempt.reservation.amount
             if attempt.preemptible():
