--- a/hornbeamramp/attempts.py
+++ b/hornbeamramp/attempts.py
@@ -186,7 +186,7 @@
                 epoch=self._epoch,
                 job=msgspec.msgpack.encode(start.job),
             ),
-            standing=isinstance(start.job, ServiceJob),
+            is_service=isinstance(start.job, ServiceJob),
         )
 
     def _is_own(self, result: TaskResult, attempt_id: AttemptId) -> bool:
--- a/hornbeamramp/standins/upstream.py
+++ b/hornbeamramp/standins/upstream.py
@@ -164,7 +164,7 @@
             run=from_ms(body.run_ms),
             not_after=timedelta(0),
             labels=body.labels,
-            standing=body.standing,
+            is_service=body.is_service,
         )
         if "traceparent" in request.headers:
             self._traceparents.append(request.headers["traceparent"])
--- a/hornbeamramp/standins/worker_task.py
+++ b/hornbeamramp/standins/worker_task.py
@@ -119,14 +119,14 @@
 
     def usage(self, at: timedelta) -> UsageReport:
         """Returns use and progress (0 to 1) at the boot time ``at``."""
-        standing = self.request.standing or not self._work
+        standing = self.request.is_service or not self._work
         progress = 0.0 if standing else min(self._work_at(at) / self._work, 1.0)
         return UsageReport(self.request.attempt_id, self._simulation.usage, progress)
 
     def _finishes_at(self) -> timedelta:
         since, done, rate = self._phases[-1]
         never = timedelta.max
-        if self.request.standing and not self._simulation.fails:
+        if self.request.is_service and not self._simulation.fails:
             return never
         return since + max(self._work - done, timedelta(0)) / rate if rate > 0 else never
 
--- a/hornbeamramp/upstreams/base.py
+++ b/hornbeamramp/upstreams/base.py
@@ -59,7 +59,7 @@
     run: timedelta
     not_after: timedelta
     labels: TaskLabels
-    standing: bool = False
+    is_service: bool = False
 
 
 class StartReply(Enum):
--- a/hornbeamramp/upstreams/http.py
+++ b/hornbeamramp/upstreams/http.py
@@ -111,7 +111,7 @@
             run_ms=to_ms(request.run),
             not_after_at_ms=offset_ms + self._boot_ms() + to_ms(request.not_after),
             labels=request.labels,
-            standing=request.standing,
+            is_service=request.is_service,
         )
         path = _task_path(request.attempt_id)
         encoded = msgspec.json.encode(body)
--- a/hornbeamramp/upstreams/wire.py
+++ b/hornbeamramp/upstreams/wire.py
@@ -44,7 +44,7 @@
     run_ms: int
     not_after_at_ms: int
     labels: TaskLabels
-    standing: bool = False
+    is_service: bool = msgspec.field(default=False, name="standing")
 
 
 class StartReplyBody(msgspec.Struct, frozen=True):
--- a/tests/standins/test_worker_model.py
+++ b/tests/standins/test_worker_model.py
@@ -94,7 +94,7 @@
 
 def test_standing_task_runs_until_stopped(worker, clock):
     """Guards against services that end by themselves."""
-    worker.start(request(A, lease=1000 * SECOND, standing=True))
+    worker.start(request(A, lease=1000 * SECOND, is_service=True))
     clock.set(900 * SECOND)
     assert worker.result(A) is TaskState.RUNNING
     assert worker.stop(A) is TaskState.STOPPED
