--- a/hornbeamramp/upstream_link.py
+++ b/hornbeamramp/upstream_link.py
@@ -1,4 +1,4 @@
-"""One upstream as a shard owner sees it: connection, lease renewals, usage, leaving."""
+"""A shard owner's link to one upstream: connection, lease renewals, usage and shape changes."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -14,20 +14,20 @@
 
 __all__ = ["UpstreamEvents", "UpstreamLink", "close_adapters"]
 
-RECONNECT_PAUSE = timedelta(milliseconds=500)
-# Longest time from sending a request to its arrival: the adapter's timeout of 2 s, then as long
-# again until TCP_USER_TIMEOUT ends the connection.
-DELIVERY_BOUND = timedelta(seconds=4)
-# Rounds of maintenance for each usage report; reports lag by seconds anyway.
-ROUNDS_PER_USAGE = 5
-# Renewals for each lease; several may fail before a task ends.
+RECONNECT_DELAY = timedelta(milliseconds=500)
+# Upper bound of the time from sending a request to its arrival: the adapter's timeout of 2 s, and
+# another 2 s until TCP_USER_TIMEOUT closes the connection.
+MAX_DELIVERY_DELAY = timedelta(seconds=4)
+# Maintenance rounds per usage report; more frequent ones gain nothing as reports lag by seconds.
+ROUNDS_PER_USAGE_REPORT = 5
+# Renewals per lease period, so that a task survives several failed renewals.
 RENEWALS_PER_LEASE = 4
 
 _log = logbook.Logger("upstream")
 
 
 class UpstreamEvents:
-    """What a link tells its owner. Each is called with the link."""
+    """Callbacks of a link to its shard owner. The first argument of each is the link."""
 
     def __init__(
         self,
@@ -43,10 +43,12 @@
 
 
 class UpstreamLink:
-    """Keeps one upstream's tasks renewed and its state known. `run` is the upstream's task.
+    """Renews the task leases at one upstream and tracks its shape and usage.
+
+    The owner runs `run` as a background task.
 
     `attempts`
-        Attempts whose leases are to be renewed.
+        Attempts whose leases are renewed.
     """
 
     def __init__(
@@ -71,39 +73,39 @@
         self._clock = clock
         self._may_start = may_start
         self._events = events
-        self._lease = timedelta(milliseconds=timing.task_lease_ms)
-        self._margin = timedelta(milliseconds=timing.drift_margin_ms) + DELIVERY_BOUND
+        self._lease_ttl = timedelta(milliseconds=timing.task_lease_ms)
+        self._lease_margin = timedelta(milliseconds=timing.drift_margin_ms) + MAX_DELIVERY_DELAY
         self._renewed_at: timedelta | None = None
-        self._round = 0
-        self._interval = timedelta(milliseconds=timing.usage_ms)
-        self._lapses_at_by_attempt: dict[AttemptId, timedelta] = {}
+        self._round_count = 0
+        self._round_interval = timedelta(milliseconds=timing.usage_ms)
+        self._expires_at_by_attempt: dict[AttemptId, timedelta] = {}
 
     def track(self, attempt_id: AttemptId) -> None:
-        """Adds an attempt whose start is about to be sent, or that was found running."""
+        """Renews an attempt from now on: its start is about to be sent, or it was found running."""
         self.attempts.add(attempt_id)
-        self._note_lease(attempt_id, self._clock.boot_time())
+        self._record_renewal(attempt_id, self._clock.boot_time())
 
     def forget(self, attempt_id: AttemptId) -> None:
-        """Ends the renewals of an attempt."""
+        """Stops renewing an attempt."""
         self.attempts.discard(attempt_id)
-        self._lapses_at_by_attempt.pop(attempt_id, None)
+        self._expires_at_by_attempt.pop(attempt_id, None)
 
     def has_lapsed(self, attempt_id: AttemptId) -> bool:
-        """Tells whether the attempt's lease has certainly ended at the upstream."""
-        lapses_at = self._lapses_at_by_attempt.get(attempt_id)
-        return lapses_at is not None and self._clock.boot_time() > lapses_at
+        """Returns whether the attempt's lease has certainly expired at the upstream."""
+        expires_at = self._expires_at_by_attempt.get(attempt_id)
+        return expires_at is not None and self._clock.boot_time() > expires_at
 
     async def run(self) -> None:
-        """Connects, lists and maintains the upstream until cancelled."""
+        """Connects, lists the tasks and runs maintenance rounds until cancelled."""
         while True:
             try:
                 await self._connect()
                 while True:
-                    await self._clock.sleep(self._interval)
+                    await self._clock.sleep(self._round_interval)
                     await self._maintain()
             except (UnreachableError, ProtocolError) as error:
-                self._note_unreachable(error)
-                await self._clock.sleep(RECONNECT_PAUSE)
+                self._mark_unreachable(error)
+                await self._clock.sleep(RECONNECT_DELAY)
 
     async def _connect(self) -> None:
         shape = await self.adapter.shape()
@@ -113,7 +115,7 @@
         self.reachable = True
         await self._events.listed(self, shape, tasks)
         self.listed = True
-        # Adopted tasks are near the end of the lease that their former owner renewed last.
+        # Adopted tasks were last renewed by the former owner, so their leases are close to expiry.
         await self._renew()
         _log.info("{}: connected with {} tasks listed", self.id, len(tasks))
 
@@ -124,32 +126,32 @@
         if shape != self.shape:
             self.shape = shape
             self._events.shape_changed(self, shape)
-        self._round += 1
-        if self.attempts and self._round % ROUNDS_PER_USAGE == 0:
+        self._round_count += 1
+        if self.attempts and self._round_count % ROUNDS_PER_USAGE_REPORT == 0:
             self._events.usage(self, await self.adapter.usage())
 
     def _is_renewal_due(self) -> bool:
         if self._renewed_at is None:
             return True
-        next_round = self._clock.boot_time() + self._interval
-        return next_round - self._renewed_at > self._lease / RENEWALS_PER_LEASE
+        next_round_at = self._clock.boot_time() + self._round_interval
+        return next_round_at - self._renewed_at > self._lease_ttl / RENEWALS_PER_LEASE
 
     async def _renew(self) -> None:
-        # Renewals under an epoch tell other members that its owner still serves, so they stop
-        # when the proof of ownership has run out.
+        # Other members take renewals with an epoch as evidence that its owner is still active, so
+        # they stop when the proof of ownership has expired.
         if not self.attempts or not self._may_start():
             return
         sent_at = self._renewed_at = self._clock.boot_time()
         attempts = sorted(self.attempts)
-        # A renewal may take effect even if its answer is lost, so it is counted before sending.
+        # A renewal may take effect even if its answer is lost, so it is recorded before sending.
         for attempt_id in attempts:
-            self._note_lease(attempt_id, sent_at)
-        await self.adapter.renew(attempts, self._epoch, self._lease)
+            self._record_renewal(attempt_id, sent_at)
+        await self.adapter.renew(attempts, self._epoch, self._lease_ttl)
 
-    def _note_lease(self, attempt_id: AttemptId, sent_at: timedelta) -> None:
-        self._lapses_at_by_attempt[attempt_id] = sent_at + self._lease + self._margin
+    def _record_renewal(self, attempt_id: AttemptId, sent_at: timedelta) -> None:
+        self._expires_at_by_attempt[attempt_id] = sent_at + self._lease_ttl + self._lease_margin
 
-    def _note_unreachable(self, error: SchedulerError) -> None:
+    def _mark_unreachable(self, error: SchedulerError) -> None:
         if self.reachable:
             _log.warning("{}: unreachable: {}", self.id, error.message)
         self.reachable = False
