--- a/hornbeamramp/upstream_pool.py
+++ b/hornbeamramp/upstream_pool.py
@@ -1,4 +1,4 @@
-"""The upstreams of a shard: their capacity in ledger and index, and which may receive work."""
+"""The upstreams of a shard: their capacity, and which of them may receive work."""
 
 from collections import Counter
 
@@ -16,11 +16,11 @@
 
 __all__ = ["UpstreamPool"]
 
-_NOTHING: Vector = (0, 0, 0, 0, 0)
+_ZERO_VECTOR: Vector = (0, 0, 0, 0, 0)
 
 
 class UpstreamPool:
-    """Keeps ledger, index, holds and the pool's free capacity in agreement.
+    """Keeps ledger, capacity index, holds and the pool's free capacity consistent.
 
     `touched`
         Upstreams whose capacity changed; cleared by the dispatcher.
@@ -36,28 +36,28 @@
         self._shares = shares
         self._leaving: set[UpstreamId] = set()
         self._free_by_id: dict[UpstreamId, Vector] = {}
-        self._stale = False
+        self._shapes_changed = False
 
     def add(self, shape: UpstreamShape, now: float) -> None:
-        """Adds an upstream, or updates the shape and leaving mark of a known one."""
+        """Adds an upstream, or updates the shape and leaving state of a known one."""
         if shape.leaving:
             self._leaving.add(shape.id)
         else:
             self._leaving.discard(shape.id)
         self.index.add(shape)
         self.health.add(shape.id, now)
-        self._stale = True
+        self._shapes_changed = True
         self.ledger.set_capacity(shape.id, shape.resources)
 
     def add_placeholder(self, upstream_id: UpstreamId) -> None:
-        """Opens an account without capacity for an upstream whose shape is not known yet."""
+        """Adds an upstream whose shape is not known yet, with a capacity of zero."""
         if upstream_id not in self.ledger:
             self.ledger.set_capacity(upstream_id, ZERO)
 
     def set_leaving(self, upstream_id: UpstreamId) -> None:
-        """Marks an upstream to receive no more work."""
+        """Marks an upstream as leaving; it receives no further work."""
         self._leaving.add(upstream_id)
-        self._stale = True
+        self._shapes_changed = True
         self.capacity_changed(upstream_id)
 
     def remove(self, upstream_id: UpstreamId) -> None:
@@ -68,11 +68,11 @@
             self.capacity_changed(released)
         self.ledger.remove_upstream(upstream_id)
         self._leaving.discard(upstream_id)
-        self._stale = True
+        self._shapes_changed = True
         self.capacity_changed(upstream_id)
 
     def usable(self, upstream_id: UpstreamId) -> bool:
-        """Tells whether an upstream may receive new work other than a probe."""
+        """Returns whether an upstream may receive new work other than a probe."""
         return (
             upstream_id in self.index.shape_by_id
             and upstream_id not in self._leaving
@@ -80,17 +80,18 @@
         )
 
     def may_probe(self, upstream_id: UpstreamId) -> bool:
-        """Tells whether an upstream in quarantine may receive a probe."""
+        """Returns whether an upstream in quarantine may receive a probe."""
         return upstream_id in self.index.shape_by_id and upstream_id not in self._leaving
 
     def take_changed_shapes(self) -> tuple[Counter[Vector], float] | None:
-        """Returns the count of each shape and the best speed if they changed since the last call.
+        """Returns the count of each shape and the highest speed, or ``None`` if nothing changed.
 
-        Also sets the capacity in relation to which shares are computed.
+        Changes are those since the last call. Also sets the total capacity that shares are
+        relative to.
         """
-        if not self._stale:
+        if not self._shapes_changed:
             return None
-        self._stale = False
+        self._shapes_changed = False
         shapes: Counter[Vector] = Counter()
         best, total = 0.0, [0, 0, 0, 0, 0]
         for shape in self.index.shape_by_id.values():
@@ -104,9 +105,9 @@
         return shapes, best or 1.0
 
     def capacity_changed(self, upstream_id: UpstreamId) -> None:
-        """Notes that free capacity, state or holds of an upstream changed."""
-        new = self.ledger.free(upstream_id) if self.usable(upstream_id) else _NOTHING
-        old = self._free_by_id.get(upstream_id, _NOTHING)
+        """Updates what is derived from the free capacity, state and holds of an upstream."""
+        new = self.ledger.free(upstream_id) if self.usable(upstream_id) else _ZERO_VECTOR
+        old = self._free_by_id.get(upstream_id, _ZERO_VECTOR)
         if new != old:
             free = self._shares.free
             free[0] += new[0] - old[0]
@@ -123,16 +124,16 @@
         self.holds.touch(upstream_id)
 
     def unheld(self, upstream_id: UpstreamId) -> Vector:
-        """Returns what is free and not held; negative where more is held than free."""
+        """Returns the free capacity minus holds; negative where more is held than free."""
         free, held = self.ledger.free(upstream_id), self.holds.held(upstream_id)
         if held is None:
             return free
         return tuple(a - b for a, b in zip(free, held, strict=True))  # type: ignore[return-value]
 
     def unheld_with_pending_releases(self, upstream_id: UpstreamId) -> Vector:
-        """Returns `unheld` and what tasks take that were ordered to end or to throttle.
+        """Returns `unheld` plus what stopping or throttled tasks are going to release.
 
-        Tasks whose end is overdue are not counted on.
+        Tasks whose stop is overdue are not counted.
         """
         sums = list(self.unheld(upstream_id))
         for attempt in self._tasks.on_upstream(upstream_id):
@@ -159,7 +160,7 @@
             statuses.append(UpstreamStatus(upstream_id, state, free, tasks, reason))
         return statuses
 
-    # Values of the views of the index
+    # Capacities for the views of the index
 
     def _free(self, upstream_id: UpstreamId) -> Vector | None:
         if not self.usable(upstream_id):
