--- a/hornbeamramp/upstream_pool.py
+++ b/hornbeamramp/upstream_pool.py
@@ -50,7 +50,7 @@
         self.ledger.set_capacity(shape.id, shape.resources)
 
     def add_placeholder(self, upstream_id: UpstreamId) -> None:
-        """Adds an upstream whose shape is not known yet, with a capacity of zero."""
+        """Adds an upstream of unknown shape to the ledger, with a capacity of zero."""
         if upstream_id not in self.ledger:
             self.ledger.set_capacity(upstream_id, ZERO)
 
--- a/hornbeamramp/upstreams/__init__.py
+++ b/hornbeamramp/upstreams/__init__.py
@@ -1,6 +1,6 @@
 """Upstream adapters: how tasks are started, listed, renewed and stopped.
 
-`UpstreamAdapter` is the contract; `UPSTREAMS` finds an adapter by name or alias.
+`UpstreamAdapter` is the interface; `UPSTREAMS` looks up an adapter by name or alias.
 """
 
 from hornbeamramp.plugins import Registry
--- a/hornbeamramp/upstreams/base.py
+++ b/hornbeamramp/upstreams/base.py
@@ -1,4 +1,4 @@
-"""Contract of upstream adapters."""
+"""Interface of upstream adapters."""
 
 from abc import ABC, abstractmethod
 from collections.abc import Callable
@@ -25,7 +25,11 @@
 
 
 class UpstreamShape(msgspec.Struct, frozen=True):
-    """What an upstream is. ``speed`` is relative; a task of run time r takes r / speed."""
+    """Identity and capacity of an upstream, and whether it is leaving.
+
+    `speed`
+        Relative speed: a task of run time r takes r / speed.
+    """
 
     id: UpstreamId
     rack: RackId
@@ -36,7 +40,7 @@
 
 
 class TaskLabels(msgspec.Struct, frozen=True):
-    """Labels of a start. Upstreams with the capability ``labels`` return them in lists."""
+    """Labels of a start. Upstreams with the capability ``labels`` return them in task lists."""
 
     job_id: JobId
     shard: ShardId
@@ -49,7 +53,7 @@
     """One attempt to start a task.
 
     `not_after`
-        Time from sending after which the upstream must not start the task.
+        Time limit, counted from sending, after which the upstream must not start the task.
     """
 
     attempt_id: AttemptId
@@ -63,7 +67,7 @@
 
 
 class StartReply(Enum):
-    """What an upstream answered to a start."""
+    """Answer of an upstream to a start."""
 
     STARTED = "started"
     REFUSED_FULL = "refused_full"
@@ -84,7 +88,7 @@
 
 
 class UsageReport(msgspec.Struct, frozen=True):
-    """Measured use of a running task; it lags behind by up to some seconds."""
+    """Measured usage of a running task, up to several seconds old."""
 
     attempt_id: AttemptId
     usage: Resources
@@ -94,8 +98,8 @@
 class UpstreamAdapter(Plugin, ABC):
     """Connection to one upstream.
 
-    Every method raises `UnreachableError` if no answer came; its ``sent`` is false only if no byte
-    of the request was written. Raises `ProtocolError` on a malformed answer.
+    Every method raises `UnreachableError` if no answer arrived, with ``sent`` false only if no byte
+    of the request was written, and `ProtocolError` on a malformed answer.
     """
 
     @abstractmethod
@@ -110,20 +114,20 @@
     async def start(
         self, request: StartRequest, *, check: Callable[[], bool] | None = None
     ) -> StartReply:
-        """Starts a task. The same attempt id again is answered without a second start.
+        """Starts a task. A repeated attempt id is answered without a second start.
 
-        ``check`` tells whether the caller may still start work. It is called as late as possible
-        before the request is written, and must not block; if it returns false nothing is sent and
-        `UnreachableError` is raised with ``sent`` false. Adapters say in their docstring what
-        remains between the check and the write.
+        ``check`` returns whether the caller may still start work. It is called as late as possible
+        before the request is written, and must not block; if it returns false, nothing is sent and
+        `UnreachableError` is raised with ``sent`` false. Adapters document what can delay the
+        request between the check and the write.
         """
 
     @abstractmethod
     async def result(self, attempt_id: AttemptId, wait: timedelta) -> TaskResult | TaskState | None:
         """Returns the result, waiting up to ``wait`` for it.
 
-        A `TaskState` without a result tells that the task runs on, failed, stopped or was
-        checkpointed; ``None`` that the upstream does not know the attempt.
+        Returns the `TaskState` if there is no result because the task is running, failed, was
+        stopped or was checkpointed, and ``None`` if the attempt is unknown to the upstream.
         """
 
     @abstractmethod
@@ -136,21 +140,24 @@
     async def stop(self, attempt_id: AttemptId) -> TaskState | None:
         """Stops the task and returns its final state.
 
-        ``None`` means that the upstream does not know it. With the capability ``fence`` an
-        unknown id is recorded as refused first, so that a late start has no effect.
+        Returns ``None`` if the attempt is unknown to the upstream. With the capability ``fence``,
+        an unknown id is first recorded as refused, so that a late start has no effect.
         """
 
     @abstractmethod
     async def checkpoint(self, attempt_id: AttemptId) -> bool:
-        """Checkpoints and stops the task; false if it was not running."""
+        """Checkpoints and stops the task. Returns false if it was not running."""
 
     @abstractmethod
     async def throttle(self, attempt_id: AttemptId, resources: Resources) -> bool:
-        """Limits the task to ``resources``; false if it was not running."""
+        """Limits the task to ``resources``. Returns false if it was not running."""
 
     @abstractmethod
     async def fence(self, shard: ShardId, epoch: Epoch) -> bool:
-        """Refuses later starts of the shard with a lower epoch; false if not supported."""
+        """Makes the upstream refuse later starts of the shard with a lower epoch.
+
+        Returns false if the upstream does not support it.
+        """
 
     @abstractmethod
     async def usage(self) -> list[UsageReport]:
--- a/hornbeamramp/upstreams/http.py
+++ b/hornbeamramp/upstreams/http.py
@@ -1,4 +1,4 @@
-"""Upstream adapter for the HTTP protocol of the workers."""
+"""Upstream adapter for the workers' HTTP protocol."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -40,8 +40,8 @@
 __all__ = ["HttpUpstream"]
 
 T = TypeVar("T")
-# Two clocks that run apart by 200 parts per million differ by 6 ms after this time.
-OFFSET_KEPT_MS = 30_000
+# At a relative clock drift of 200 ppm, the offset is wrong by at most 6 ms after this time.
+OFFSET_REFRESH_MS = 30_000
 
 
 class HttpUpstream(UpstreamAdapter):
@@ -50,11 +50,11 @@
     `address`
         ``ip:port`` of the upstream.
     `timeout`
-        Longest time for a whole call. `result` may take its wait in addition.
+        Maximum duration of a whole call; `result` may additionally take its ``wait``.
     `clock`
         Source of time for not-after times and idle connections.
 
-    After a call without an answer, later calls use new connections. No call is repeated.
+    After an unanswered call, later calls use new connections. No call is retried.
     """
 
     name = "http"
@@ -64,9 +64,9 @@
         self._client = HttpClient(address, timeout, clock)
         self._address = address
         self._clock = clock
-        # Upstream's wall clock minus the local boot time: a lower bound, and when it was found.
+        # Lower bound of the upstream's wall clock minus the local boot time; time of measurement.
         self._offset_ms: int | None = None
-        self._offset_found_ms = 0
+        self._offset_measured_ms = 0
 
     async def shape(self) -> UpstreamShape:
         reply = await self._call("GET", "/v1/worker", Step.RECOVER)
@@ -91,15 +91,15 @@
     ) -> StartReply:
         """Starts a task, see `UpstreamAdapter.start`.
 
-        ``check`` is called once connected, in the same step of the event loop in which the
-        request is handed to the transport, with no ``await`` in between. What remains after it:
-        asyncio's transport calls ``send`` at once, uvloop's at the end of the loop iteration; a
-        request larger than the socket's free buffer leaves in parts; the process can be paused
-        before ``send``, and the packet delayed after it. The not-after time, counted from this
-        call, and the fence cover these at upstreams that support them.
+        ``check`` is called after connecting, in the same step of the event loop in which the
+        request is handed to the transport, with no ``await`` in between. The request can still be
+        delayed after the check: asyncio's transport calls ``send`` at once, uvloop's at the end of
+        the loop iteration; a request larger than the socket's free buffer is sent in parts; the
+        process can be paused before ``send``, and the packet delayed after it. At upstreams that
+        support them, the not-after time, counted from this call, and the fence cover these delays.
         """
         try:
-            offset_ms = await self._find_offset()
+            offset_ms = await self._get_offset_ms()
         except UnreachableError as error:
             raise UnreachableError(
                 Step.START, self._address, f"no start was sent: {error.message}", sent=False
@@ -121,8 +121,8 @@
     async def result(self, attempt_id: AttemptId, wait: timedelta) -> TaskResult | TaskState | None:
         """Returns the result, see `UpstreamAdapter.result`.
 
-        Raises `ProtocolError` on an answer to another attempt and on one whose payload does not
-        have the stated length and digest.
+        Raises `ProtocolError` if the answer belongs to another attempt or its payload does not
+        match the stated length and digest.
         """
         wait = max(wait, timedelta(0))
         path = f"{_task_path(attempt_id)}?wait_ms={to_ms(wait)}"
@@ -198,40 +198,45 @@
         except RequestFailedError as error:
             raise UnreachableError(step, self._address, str(error), error.sent) from error
         if reply.status not in accepted:
-            # The body is left out: it may repeat the payload, and the message is logged.
+            # The message is logged, so it omits the body, which may repeat the payload.
             message = f"{method} {path}: status {reply.status}"
             raise ProtocolError(step, self._address, message)
-        self._note_time(reply, sent_ms)
+        self._update_offset(reply, sent_ms)
         return reply
 
-    async def _find_offset(self) -> int:
-        # Regular calls replace the offset after `OFFSET_KEPT_MS`; without any, it is asked for.
-        age_ms = self._boot_ms() - self._offset_found_ms
-        if self._offset_ms is None or age_ms > 2 * OFFSET_KEPT_MS:
+    async def _get_offset_ms(self) -> int:
+        # Regular calls refresh the offset after `OFFSET_REFRESH_MS`; without any, it is queried.
+        age_ms = self._boot_ms() - self._offset_measured_ms
+        if self._offset_ms is None or age_ms > 2 * OFFSET_REFRESH_MS:
             await self.shape()
         if self._offset_ms is None:
             message = f"the answer has no valid {TIME_HEADER}"
             raise ProtocolError(Step.START, self._address, message)
         return self._offset_ms
 
-    def _note_time(self, reply: HttpReply, sent_ms: int) -> None:
-        """Narrows down the offset of the upstream's clock.
+    def _update_offset(self, reply: HttpReply, sent_ms: int) -> None:
+        """Updates the offset of the upstream's clock from the time header of an answer.
 
         The upstream read its clock between sending and receiving, so the difference to the time
         of receiving is a lower bound of the offset and yields not-after times that are never too
-        late. The highest bound is kept for a while, because a slow answer gives a poor one, unless
-        the upper bound shows that the upstream's clock was set back.
+        late. The highest lower bound is kept for `OFFSET_REFRESH_MS`, because a slow answer gives
+        a poor one, unless the upper bound shows that the upstream's clock was set back.
         """
         value = reply.headers.get(TIME_HEADER, "")
         if not value.isdigit():
             return
         now_ms = self._boot_ms()
-        lowest, highest = int(value) - now_ms - 1, int(value) - sent_ms + 1
-        held = self._offset_ms
-        stale = now_ms - self._offset_found_ms > OFFSET_KEPT_MS
-        if held is None or stale or lowest >= held or held > highest:
-            self._offset_ms = lowest
-            self._offset_found_ms = now_ms
+        lower_bound_ms, upper_bound_ms = int(value) - now_ms - 1, int(value) - sent_ms + 1
+        current_ms = self._offset_ms
+        is_stale = now_ms - self._offset_measured_ms > OFFSET_REFRESH_MS
+        if (
+            current_ms is None
+            or is_stale
+            or lower_bound_ms >= current_ms
+            or current_ms > upper_bound_ms
+        ):
+            self._offset_ms = lower_bound_ms
+            self._offset_measured_ms = now_ms
 
     def _boot_ms(self) -> int:
         return to_ms(self._clock.boot_time())
--- a/hornbeamramp/upstreams/wire.py
+++ b/hornbeamramp/upstreams/wire.py
@@ -1,5 +1,5 @@
-"""Messages of the upstream protocol: JSON over HTTP. Durations are whole milliseconds, payloads
-base64. Shared by the adapter and the stand-in.
+"""Messages of the upstream protocol: JSON over HTTP, with durations in whole milliseconds and
+payloads in base64. Shared by the adapter and the stand-in upstream.
 """
 
 import msgspec
@@ -25,8 +25,8 @@
     "to_ms",
 ]
 
-# Upstream's wall-clock time in milliseconds since 1970, on every answer. Senders need it to state
-# `StartBody.not_after_at_ms` in the upstream's own time.
+# Header of every answer: the upstream's wall-clock time in milliseconds since 1970. Senders need it
+# to express `StartBody.not_after_at_ms` in the upstream's time.
 TIME_HEADER = "Upstream-Time-Ms"
 
 
@@ -69,7 +69,7 @@
 
 
 class ResultReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to ``GET /v1/tasks/{attempt}``. The last three fields belong to a succeeded task."""
+    """Answer to ``GET /v1/tasks/{attempt}``. Only succeeded tasks have the last three fields."""
 
     attempt_id: AttemptId
     upstream_id: UpstreamId
@@ -92,13 +92,13 @@
 
 
 class StopReply(msgspec.Struct, frozen=True):
-    """Answer to ``DELETE /v1/tasks/{attempt}``; status 404 without a state if it is unknown."""
+    """Answer to ``DELETE /v1/tasks/{attempt}``; 404 without a state if the attempt is unknown."""
 
     state: TaskState
 
 
 class FenceBody(msgspec.Struct, frozen=True):
-    """Body of ``POST /v1/fence``. Status 501 if the upstream can't fence."""
+    """Body of ``POST /v1/fence``. Answered with 501 if the upstream does not support fencing."""
 
     shard: ShardId
     epoch: Epoch
