--- a/hornbeamramp/platforms/__init__.py
+++ b/hornbeamramp/platforms/__init__.py
@@ -1,6 +1,6 @@
 """Platform adapters: the key-value service, leases, watches and the list of VMs.
 
-`Platform` is the contract; `PLATFORMS` finds an adapter by name or alias.
+`Platform` is the interface; `PLATFORMS` looks up an adapter by name or alias.
 """
 
 from hornbeamramp.platforms._mapping import PLUGINS
--- a/hornbeamramp/platforms/base.py
+++ b/hornbeamramp/platforms/base.py
@@ -1,4 +1,4 @@
-"""Contract of platform adapters."""
+"""Interface of platform adapters."""
 
 from abc import ABC, abstractmethod
 from datetime import timedelta
@@ -21,14 +21,14 @@
 
 
 class ListedVm(msgspec.Struct, frozen=True):
-    """A row of the platform's list of VMs, which lags behind the truth."""
+    """A row of the platform's list of VMs, which may be out of date by several seconds."""
 
     vm_id: VmId
     leaving: bool
 
 
 class WatchResult(msgspec.Struct, frozen=True):
-    """Keys changed after the revision asked for. ``deleted`` names keys that are gone."""
+    """Changes after the requested revision. ``deleted`` lists the keys that were deleted."""
 
     revision: int
     changed: list[Entry]
@@ -36,16 +36,16 @@
 
 
 class Platform(Plugin, ABC):
-    """The platform's service as this package uses it.
+    """Client of the platform's service: key-value store, leases, watches and list of VMs.
 
-    Every method raises `StoreUnavailableError` when no answer came within the adapter's timeout
-    or the store refused the call; a write may then have taken effect. Values are at most 1 MB.
-    Each call, a waiting watch included, counts as one against the service's rates.
+    Every method raises `StoreUnavailableError` if no answer arrives within the adapter's timeout
+    or the store refuses the call; a write may nevertheless have taken effect. Values are at most
+    1 MB. Each call, including a waiting watch, counts as one towards the service's rate limits.
     """
 
     @abstractmethod
     async def get(self, key: str) -> Entry | None:
-        """Returns the entry, or ``None`` if there is no such key."""
+        """Returns the entry, or ``None`` if the key does not exist."""
 
     @abstractmethod
     async def put(
@@ -53,9 +53,9 @@
     ) -> int:
         """Writes the value and returns the new version.
 
-        ``expected`` is the version to replace, ``None`` if the key must not exist. Raises
-        `ConflictError` with the current version (``None`` if absent) if it is another. An entry
-        with a lease disappears when the lease ends.
+        ``expected`` is the version to replace, or ``None`` if the key must not exist. Raises
+        `ConflictError` with the current version (``None`` if absent) if that differs. An entry
+        with a lease is deleted when the lease ends.
         """
 
     @abstractmethod
@@ -70,8 +70,8 @@
     async def watch(self, prefix: str, after: int, wait: timedelta) -> WatchResult:
         """Returns the changes under ``prefix`` after store revision ``after``.
 
-        Waits up to ``wait`` for one; the result is empty if there was none. ``after=0`` returns
-        everything at once.
+        Waits up to ``wait`` for a change; the result is empty if there was none. ``after=0``
+        returns all entries without waiting.
         """
 
     @abstractmethod
@@ -88,7 +88,7 @@
 
     @abstractmethod
     async def list_vms(self) -> list[ListedVm]:
-        """Returns the list of VMs. It may lag by several seconds."""
+        """Returns the list of VMs, which may be out of date by several seconds."""
 
     async def close(self) -> None:  # noqa: B027 - adapters without connections need none
         """Closes the adapter's connections."""
--- a/hornbeamramp/platforms/http.py
+++ b/hornbeamramp/platforms/http.py
@@ -24,19 +24,19 @@
 
 
 class ListReply(msgspec.Struct, frozen=True):
-    """Body of the answer to a list by prefix. Values are base64 in JSON."""
+    """Body of the answer to a listing by prefix. Values are base64 in JSON."""
 
     entries: list[Entry]
 
 
 class LeaseReply(msgspec.Struct, frozen=True):
-    """Body of the answer to a granted lease."""
+    """Body of the answer to a lease request."""
 
     id: LeaseId
 
 
 class VmsReply(msgspec.Struct, frozen=True):
-    """Body of the answer to the list of VMs."""
+    """Body of the answer to a listing of VMs."""
 
     vms: list[ListedVm]
 
@@ -47,13 +47,13 @@
     `address`
         ``ip:port`` of the service.
     `timeout`
-        Longest time for a whole call. A watch may take its wait in addition.
+        Maximum duration of a whole call; a watch may additionally take its ``wait``.
     `clock`
         Source of time for idle connections.
 
-    Every method raises `StoreUnavailableError` if no complete answer came in time, the service
-    answered 5xx, or it answered 429 because its rate was exceeded; only in the last case, and if
-    nothing was written, is ``sent`` false. Raises `ProtocolError` on a malformed answer.
+    Every method raises `StoreUnavailableError` if no complete answer arrived in time or the service
+    answered 5xx, or 429 because its rate limit was exceeded. ``sent`` is false only for 429 and if
+    no byte of the request was written. Raises `ProtocolError` on a malformed answer.
     """
 
     name = "http"
@@ -67,8 +67,8 @@
         reply = await self._call("GET", _key_path(key), Step.RECOVER)
         if reply.status == 404:
             return None
-        self._expect(reply, 200, Step.RECOVER)
-        version = self._version(reply, Step.RECOVER)
+        self._check_status(reply, 200, Step.RECOVER)
+        version = self._parse_version(reply, Step.RECOVER)
         lease = reply.headers.get(LEASE_HEADER)
         return Entry(key, reply.body, version, LeaseId(lease) if lease else None)
 
@@ -85,33 +85,33 @@
         if reply.status == 410:
             raise ConflictError(Step.RENEW, self._address, f"lease {lease} has ended", None)
         self._check_conflict(reply, key, expected)
-        self._expect(reply, 200, step)
-        return self._version(reply, step)
+        self._check_status(reply, 200, step)
+        return self._parse_version(reply, step)
 
     async def delete(self, key: str, expected: int) -> None:
         headers = {"If-Match": f'"{expected}"'}
         step = Step.CHANGE_ACCEPTED
         reply = await self._call("DELETE", _key_path(key), step, None, headers)
         self._check_conflict(reply, key, expected)
-        self._expect(reply, 204, step)
+        self._check_status(reply, 204, step)
 
     async def list_prefix(self, prefix: str) -> list[Entry]:
         path = f"/v1/kv?{urlencode({'prefix': prefix})}"
         reply = await self._call("GET", path, Step.RECOVER)
-        self._expect(reply, 200, Step.RECOVER)
+        self._check_status(reply, 200, Step.RECOVER)
         return self._decode(reply, ListReply, Step.RECOVER).entries
 
     async def watch(self, prefix: str, after: int, wait: timedelta) -> WatchResult:
         wait_ms = max(round(wait.total_seconds() * 1000), 0)
         query = urlencode({"prefix": prefix, "after": after, "wait_ms": wait_ms})
         reply = await self._call("GET", f"/v1/watch?{query}", Step.CHANGE_APPLIED, wait=wait)
-        self._expect(reply, 200, Step.CHANGE_APPLIED)
+        self._check_status(reply, 200, Step.CHANGE_APPLIED)
         return self._decode(reply, WatchResult, Step.CHANGE_APPLIED)
 
     async def grant_lease(self, ttl: timedelta) -> LeaseId:
         body = msgspec.json.encode({"ttl_ms": round(ttl.total_seconds() * 1000)})
         reply = await self._call("POST", "/v1/leases", Step.CLAIM, body)
-        self._expect(reply, 201, Step.CLAIM)
+        self._check_status(reply, 201, Step.CLAIM)
         return self._decode(reply, LeaseReply, Step.CLAIM).id
 
     async def renew_lease(self, lease: LeaseId) -> bool:
@@ -119,17 +119,17 @@
         reply = await self._call("POST", path, Step.RENEW, b"")
         if reply.status == 404:
             return False
-        self._expect(reply, 204, Step.RENEW)
+        self._check_status(reply, 204, Step.RENEW)
         return True
 
     async def revoke_lease(self, lease: LeaseId) -> None:
         path = f"/v1/leases/{quote(lease, safe='')}"
         reply = await self._call("DELETE", path, Step.DRAIN)
-        self._expect(reply, 204, Step.DRAIN)
+        self._check_status(reply, 204, Step.DRAIN)
 
     async def list_vms(self) -> list[ListedVm]:
         reply = await self._call("GET", "/v1/vms", Step.RECOVER)
-        self._expect(reply, 200, Step.RECOVER)
+        self._check_status(reply, 200, Step.RECOVER)
         return self._decode(reply, VmsReply, Step.RECOVER).vms
 
     async def close(self) -> None:
@@ -164,13 +164,13 @@
         message = f"{key}: version is {version}, expected {expected}"
         raise ConflictError(Step.CHANGE_ACCEPTED, self._address, message, version)
 
-    def _expect(self, reply: HttpReply, status: int, step: Step) -> None:
+    def _check_status(self, reply: HttpReply, status: int, step: Step) -> None:
         if reply.status != status:
-            # The body is left out: it may repeat a record, and the message is logged.
+            # The message is logged, so it omits the body, which may repeat a record.
             message = f"status {reply.status} instead of {status}"
             raise ProtocolError(step, self._address, message)
 
-    def _version(self, reply: HttpReply, step: Step) -> int:
+    def _parse_version(self, reply: HttpReply, step: Step) -> int:
         match = ETAG.fullmatch(reply.headers.get("ETag", ""))
         if match is None:
             raise ProtocolError(step, self._address, "the answer has no valid ETag")
@@ -184,5 +184,5 @@
 
 
 def _key_path(key: str) -> str:
-    # A key is one path segment: with its slashes left as they are, "a/../b" would name "b".
+    # Quotes slashes too, as a key is one path segment: unquoted, "a/../b" would name "b".
     return f"/v1/kv/{quote(key, safe='')}"
--- a/hornbeamramp/platforms/memory.py
+++ b/hornbeamramp/platforms/memory.py
@@ -1,4 +1,4 @@
-"""Platform held in memory: for tests, and behind the stand-in platform's HTTP listener."""
+"""In-memory platform for tests and for the HTTP server of the stand-in platform."""
 
 import asyncio
 from datetime import timedelta
@@ -14,15 +14,15 @@
 
 VALUE_LIMIT_BYTES = 1_000_000
 PEER = "store"
-# Lifetime of a lease that had ended and came back with a restored entry.
-RESTORED_TTL = timedelta(seconds=6)
+# Time to live of an ended lease that is re-created because a restored entry refers to it.
+RESTORED_LEASE_TTL = timedelta(seconds=6)
 
 
 class StoreMode(Enum):
-    """Whether the store answers.
+    """Failure mode of the store.
 
     `LOSE_ANSWERS`
-        Calls take effect, then fail as if the answer had been lost.
+        Calls take effect and then fail as if their answer had been lost.
     """
 
     UP = "up"
@@ -32,16 +32,16 @@
 
 
 class MemoryPlatform(Platform):
-    """Key-value store, leases, watches and VM list in one process.
+    """Key-value store, leases, watches and list of VMs in the memory of one process.
 
     `clock`
         Source of time for leases (default: `SystemClock`).
     `mode`
         Current `StoreMode`; assign to inject a failure (default: ``UP``).
     `delay`
-        Added to each call in mode ``SLOW`` (default: 500 ms).
+        Delay added to each call in mode ``SLOW`` (default: 500 ms).
     `answers_to_lose`
-        Number of the next writes whose answers are lost in mode ``UP`` (default: 0).
+        Number of subsequent writes whose answers are lost in mode ``UP`` (default: 0).
     """
 
     name = "memory"
@@ -100,11 +100,11 @@
         while True:
             self._expire_leases()
             result = self._changes(prefix, after)
-            left = deadline - self._clock.boot_time()
-            if result.changed or result.deleted or left <= timedelta(0):
+            remaining = deadline - self._clock.boot_time()
+            if result.changed or result.deleted or remaining <= timedelta(0):
                 self._finish(write=False)
                 return result
-            await self._wait_for_change(left)
+            await self._wait_for_change(remaining)
 
     async def grant_lease(self, ttl: timedelta) -> LeaseId:
         await self._begin("grant_lease")
@@ -135,10 +135,10 @@
         return list(self.vm_by_id.values())
 
     def restore(self, entries: list[Entry]) -> None:
-        """Replaces the contents by ``entries``, as a store restored from an older state does.
+        """Replaces the contents by ``entries``, as if the store were restored from an older backup.
 
-        Versions go on growing, so a compare-and-swap with a version from before fails. Leases of
-        the entries live again, and end unless they are renewed.
+        Versions keep increasing, so a compare-and-swap with an earlier version fails. Ended leases
+        of the entries are re-created, and end unless they are renewed.
         """
         self._entry_by_key.clear()
         for entry in entries:
@@ -146,17 +146,17 @@
             restored = Entry(entry.key, entry.value, self._revision, entry.lease)
             self._entry_by_key[entry.key] = restored
             if entry.lease is not None and entry.lease not in self._ends_at_by_lease:
-                self._ttl_by_lease[entry.lease] = RESTORED_TTL
-                self._ends_at_by_lease[entry.lease] = self._clock.boot_time() + RESTORED_TTL
+                self._ttl_by_lease[entry.lease] = RESTORED_LEASE_TTL
+                self._ends_at_by_lease[entry.lease] = self._clock.boot_time() + RESTORED_LEASE_TTL
         self._notify()
 
     def entries(self) -> list[Entry]:
-        """Returns all entries without counting as a call."""
+        """Returns all entries; not counted as a call."""
         return list(self._entry_by_key.values())
 
     async def _begin(self, name: str) -> None:
         self.calls_by_name[name] = self.calls_by_name.get(name, 0) + 1
-        # Yields once, as a real call would, so that concurrent callers interleave.
+        # Yields to the event loop, as a real call would, so that concurrent callers interleave.
         await asyncio.sleep(0)
         if self.mode is StoreMode.SLOW:
             await self._clock.sleep(self.delay)
@@ -165,11 +165,11 @@
         self._expire_leases()
 
     def _finish(self, write: bool) -> None:
-        lost = self.mode is StoreMode.LOSE_ANSWERS
+        is_answer_lost = self.mode is StoreMode.LOSE_ANSWERS
         if write and self.answers_to_lose > 0:
             self.answers_to_lose -= 1
-            lost = True
-        if lost:
+            is_answer_lost = True
+        if is_answer_lost:
             raise StoreUnavailableError(Step.RENEW, PEER, "the answer was lost")
 
     def _check_version(self, key: str, expected: int | None) -> None:
@@ -192,18 +192,18 @@
         ]
         return WatchResult(self._revision, changed, deleted if after else [])
 
-    async def _wait_for_change(self, longest: timedelta) -> None:
-        # Leases end without a call, so the wait is cut into short steps.
-        step = min(longest, timedelta(milliseconds=100))
+    async def _wait_for_change(self, max_wait: timedelta) -> None:
+        # Leases also end without a call, so waits in short steps and checks them after each.
+        step = min(max_wait, timedelta(milliseconds=100))
         change = asyncio.ensure_future(self._changed.wait())
-        pause = asyncio.ensure_future(self._clock.sleep(step))
-        _, pending = await asyncio.wait({change, pause}, return_when=asyncio.FIRST_COMPLETED)
+        timer = asyncio.ensure_future(self._clock.sleep(step))
+        _, pending = await asyncio.wait({change, timer}, return_when=asyncio.FIRST_COMPLETED)
         for task in pending:
             task.cancel()
 
     def _expire_leases(self) -> None:
         now = self._clock.boot_time()
-        for lease in [lease for lease, ends in self._ends_at_by_lease.items() if ends <= now]:
+        for lease in [lease for lease, ends_at in self._ends_at_by_lease.items() if ends_at <= now]:
             self._end_lease(lease)
 
     def _end_lease(self, lease: LeaseId) -> None:
