--- a/tests/platforms/test_http.py
+++ b/tests/platforms/test_http.py
@@ -33,9 +33,9 @@
         await server.stop()
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     async with asyncio.timeout(30):
-        while not condition():  # noqa: ASYNC110 - the condition lies in the server's state
+        while not condition():  # noqa: ASYNC110 - the condition depends on the server's state
             await asyncio.sleep(0.01)
 
 
@@ -47,7 +47,7 @@
         return response.status
 
 
-async def calls(server: PlatformServer) -> dict[str, dict[str, int]]:
+async def call_counts(server: PlatformServer) -> dict[str, dict[str, int]]:
     async with (
         aiohttp.ClientSession() as session,
         session.get(f"http://{server.address}/v1/calls") as response,
@@ -56,7 +56,7 @@
 
 
 def test_compare_and_swap_reports_the_current_version(run):
-    """Guards against a lost update, and a loser that can't tell what it lost against."""
+    """Guards against a lost update, and a conflict that does not report the current version."""
 
     async def scenario():
         async with serving() as (_, client):
@@ -96,7 +96,7 @@
 
 
 def test_entry_follows_its_lease(run):
-    """Guards against entries that outlive their process, and writes under an ended lease."""
+    """Guards against entries that outlive their process, and writes with an ended lease."""
 
     async def scenario():
         async with serving() as (_, client):
@@ -133,7 +133,7 @@
 
 
 def test_lost_answer_is_not_taken_for_a_conflict(run):
-    """Guards against a repeated write that conflicts with its own effect."""
+    """Guards against a retried write that conflicts with its own first attempt."""
 
     async def scenario():
         async with serving() as (server, client):
@@ -149,12 +149,12 @@
 
 
 def test_store_down_has_no_effect_and_ends_waiting_watches(run):
-    """Guards against an outage that a member with a waiting watch does not notice."""
+    """Guards against an outage that a member with a waiting watch does not detect."""
 
     async def scenario():
         async with serving() as (server, client):
             waiting = asyncio.create_task(client.watch("p/", 1, 60 * SECOND))
-            await until(lambda: server.platform.calls_by_name.get("watch"))
+            await wait_until(lambda: server.platform.calls_by_name.get("watch"))
             await set_faults(server, mode="down")
             with pytest.raises(StoreUnavailableError):
                 await waiting
@@ -167,7 +167,7 @@
 
 
 def test_write_at_a_slow_store_may_take_effect_after_the_timeout(run):
-    """Guards against taking a timeout for a write that did not happen."""
+    """Guards against treating a timed-out write as one without effect."""
 
     async def scenario():
         async with serving(SECOND / 2) as (server, client):
@@ -175,13 +175,13 @@
             with pytest.raises(StoreUnavailableError) as caught:
                 await client.put("a", b"1", None)
             assert caught.value.sent
-            await until(server.platform.entries)
+            await wait_until(server.platform.entries)
 
     run(scenario())
 
 
 def test_calls_over_the_rate_are_refused_without_effect(run):
-    """Guards against treating a refusal by rate as a write of unknown outcome."""
+    """Guards against treating a write refused by the rate limit as one of unknown outcome."""
 
     async def scenario():
         async with serving() as (server, client):
@@ -192,7 +192,7 @@
                 await client.put("a", b"2", version)
             assert not caught.value.sent
             assert (await client.get("a")).value == b"1"
-            assert await calls(server) == {
+            assert await call_counts(server) == {
                 "calls": {"put": 1, "get": 1},
                 "limited": {"read": 0, "write": 1},
             }
@@ -201,7 +201,7 @@
 
 
 def test_vm_list_is_the_one_set(run):
-    """Guards against a list that follows the truth; members must cope with a lagging one."""
+    """Guards against a list that is always up to date; members must handle an outdated one."""
 
     async def scenario():
         async with serving() as (server, client):
@@ -216,7 +216,7 @@
 
 
 def test_malformed_faults_change_nothing(run):
-    """Guards against a test that sets a misspelt fault and passes without it."""
+    """Guards against a test with a misspelt fault that passes without the fault."""
 
     async def scenario():
         async with serving() as (server, client):
@@ -228,7 +228,7 @@
 
 
 def test_value_over_the_limit_is_refused_before_sending(run):
-    """Guards against journal segments that the service does not take."""
+    """Guards against journal segments that the service rejects as too large."""
 
     async def scenario():
         async with serving() as (server, client):
@@ -241,7 +241,7 @@
 
 
 def test_unreachable_service_is_reported_as_not_sent(run):
-    """Guards against an intent of unknown outcome where nothing left the process."""
+    """Guards against an intent of unknown outcome although nothing was sent."""
 
     async def scenario():
         with socket.socket() as sock:
--- a/tests/test_caller_api.py
+++ b/tests/test_caller_api.py
@@ -13,8 +13,10 @@
 @pytest.fixture(scope="module")
 def cell():
     workers = [WorkerSpec("worker-1", "gebze", "tickets")]
-    local = LocalCell(["gebze"], 1, workers, settings={"limits": LIMITS})
-    with running_cell(local, [ROUTE, {**ROUTE, "name": "watcher", "kind": "service"}]) as running:
+    local_cell = LocalCell(["gebze"], 1, workers, settings={"limits": LIMITS})
+    with running_cell(
+        local_cell, [ROUTE, {**ROUTE, "name": "watcher", "kind": "service"}]
+    ) as running:
         yield running
 
 
@@ -33,27 +35,27 @@
     ],
 )
 def test_malformed_body_is_refused(cell, body, detail):
-    """Guards against running a job that the caller described wrongly."""
+    """Guards against running a job from a malformed description."""
     document = assert_problem(cell.caller("POST", "/v1/jobs", body), 400)
     assert document["reason"] == "malformed"
     assert detail in document["detail"]
 
 
 def test_unknown_route_is_refused(cell):
-    """Guards against a 404 that leaves open whether the job ran."""
+    """Guards against a 404 that does not state whether the job ran."""
     document = assert_problem(cell.caller("POST", "/v1/jobs", {"route": "nowhere"}), 404)
     assert document["reason"] == "unknown_route"
 
 
 @pytest.mark.parametrize("key", ["", "k" * 201, "k\xe9"])
 def test_unusable_key_is_refused(cell, key):
-    """Guards against keys that are cut, stored without bound or compared in two encodings."""
+    """Guards against keys that are truncated, of unbounded size or compared in two encodings."""
     answer = cell.caller("POST", "/v1/jobs", {"route": "ticket"}, Idempotency_Key=key)
     assert assert_problem(answer, 400)["reason"] == "malformed"
 
 
 def test_oversized_body_is_refused(cell):
-    """Guards against unbounded memory, and against reading the rest as a further request."""
+    """Guards against unbounded memory, and against parsing the rest as a further request."""
     answer, closed = send_raw(
         cell.entry.callers, HEAD + b"Content-Length: 2001\r\n\r\n" + b"x" * 2001
     )
@@ -63,7 +65,7 @@
 
 
 def test_oversized_chunked_body_is_refused(cell):
-    """Guards against a bound that only holds for bodies that declare their length."""
+    """Guards against a size limit that applies only to bodies with a declared length."""
     body = b"Transfer-Encoding: chunked\r\n\r\n" + b"400\r\n" + b"x" * 1024 + b"\r\n"
     body += b"400\r\n" + b"x" * 1024 + b"\r\n0\r\n\r\n"
     answer, closed = send_raw(cell.entry.callers, HEAD + body)
@@ -72,7 +74,7 @@
 
 
 def test_oversized_headers_are_refused(cell):
-    """Guards against unbounded memory for headers."""
+    """Guards against unbounded memory use by headers."""
     answer, closed = send_raw(cell.entry.callers, HEAD + b"X-Long: " + b"x" * 5000 + b"\r\n\r\n")
     assert_problem(answer, 431)
     assert closed
@@ -89,7 +91,7 @@
     ],
 )
 def test_malformed_http_is_refused(cell, data):
-    """Guards against errors of the HTTP layer that are not problem details."""
+    """Guards against errors of the HTTP layer that are not returned as problem details."""
     answer, closed = send_raw(cell.entry.callers, data)
     assert_problem(answer, 400)
     assert answer.headers["connection"] == "close"
@@ -100,14 +102,14 @@
     "data", [HEAD, HEAD + b"Content-Length: 100\r\n\r\n{"], ids=["headers", "body"]
 )
 def test_slow_request_is_refused(cell, data):
-    """Guards against connections that a caller holds open with half a request."""
+    """Guards against connections that an incomplete request keeps open."""
     answer, closed = send_raw(cell.entry.callers, data)
     assert_problem(answer, 408)
     assert closed
 
 
 def test_unknown_page_and_method(cell):
-    """Guards against HTML or plain-text errors of the library."""
+    """Guards against the HTTP library's own HTML or plain-text errors."""
     assert_problem(cell.caller("GET", "/v2/jobs"), 404)
     answer = cell.caller("PUT", "/v1/jobs", {})
     assert_problem(answer, 405)
@@ -115,7 +117,7 @@
 
 
 def test_connection_is_kept_after_a_refused_job(cell):
-    """Guards against closing a caller's connection for an error within a complete request."""
+    """Guards against closing the connection because of an error in a complete request."""
     answer = cell.caller("POST", "/v1/jobs", {"route": "nowhere"})
     assert answer.headers.get("connection", "keep-alive") == "keep-alive"
 
@@ -130,7 +132,7 @@
 
 
 def test_same_key_with_another_body_is_refused(cell):
-    """Guards against giving a caller the answer to another of its requests."""
+    """Guards against answering a request with the result of another one of the same caller."""
     body = {"route": "ticket", "payload": 1}
     first = cell.caller("POST", "/v1/jobs", body, Idempotency_Key="key-1")
     assert first.status == 200
@@ -141,7 +143,7 @@
 
 
 def test_later_job_can_be_looked_up_and_cancelled(cell):
-    """Guards against a 202 whose location does not lead to the job."""
+    """Guards against a 202 whose ``Location`` does not refer to the job."""
     body = {"route": "ticket", "run_ms": 600_000}
     accepted = cell.caller("POST", "/v1/jobs", body, Prefer="respond-async")
     assert (accepted.status, accepted.json["state"]) == (202, "accepted")
@@ -157,14 +159,14 @@
 @pytest.mark.parametrize("method", ["GET", "DELETE"])
 @pytest.mark.parametrize("job_id", ["x", "1~tickets~gebze", "%00", "a~b~c~d"])
 def test_unknown_job(cell, method, job_id):
-    """Guards against a malformed id that ends as an internal error."""
+    """Guards against a malformed id that causes an internal error."""
     assert_problem(cell.caller(method, f"/v1/jobs/{job_id}"), 404, outcome=None)
 
 
 def test_serve_starts_no_other_process(cell):
-    """Guards against helper processes of libraries; the platform allows none.
+    """Guards against helper processes of libraries, which the platform does not allow.
 
-    The processor time of children that have ended shows those that a look at the list misses.
+    The CPU times of ended children reveal processes that the listings miss.
     """
     process = psutil.Process(cell.entry.program.process.pid)
     assert process.children(recursive=True) == []
@@ -186,7 +188,7 @@
 
 
 def test_not_ready_while_the_tables_are_not_loaded(cell):
-    """Guards against a balancer that sends requests to a VM without tables."""
+    """Guards against a load balancer that sends requests to a VM without tables."""
 
     async def start_without_store():
         await cell.cell.platform_faults(mode="down")
--- a/tests/test_upstream_health.py
+++ b/tests/test_upstream_health.py
@@ -26,11 +26,11 @@
 
 
 def test_failures_all_over_the_pool_quarantine_none():
-    """Guards against blaming upstreams for bad jobs: the rate is compared with the pool's."""
+    """Guards against quarantine of upstreams for faulty jobs: rates are relative to the pool's."""
     health = make_health()
-    for _ in range(5):
+    for second in range(5):
         for i in range(10):
-            fail(health, UpstreamId(f"u{i}"), 1, now=_ + i / 10)
+            fail(health, UpstreamId(f"u{i}"), 1, now=second + i / 10)
     assert not health.quarantined
 
 
@@ -77,7 +77,7 @@
     assert health.due_probe(7.0) == BAD
 
 
-def test_a_job_that_fails_on_three_upstreams_is_at_fault_and_acquits_them():
+def test_a_job_that_fails_on_three_upstreams_is_at_fault_and_its_failures_are_retracted():
     health = make_health()
     for i in range(3):
         fail(health, UpstreamId(f"u{i}"), 2)
--- a/tests/upstreams/conftest.py
+++ b/tests/upstreams/conftest.py
@@ -8,5 +8,5 @@
 
 @pytest.fixture(params=[asyncio.run, uvloop.run], ids=["asyncio", "uvloop"])
 def run(request):
-    """Runs a coroutine on the standard loop and on the one that entry processes use."""
+    """Runs a coroutine on asyncio's event loop and on uvloop, which entry processes use."""
     return request.param
--- a/tests/upstreams/test_http.py
+++ b/tests/upstreams/test_http.py
@@ -26,7 +26,7 @@
 
 
 class ShiftedClock(SystemClock):
-    """System clock whose wall-clock time and boot time are off by ``shift``."""
+    """System clock whose wall-clock time and boot time are shifted by ``shift``."""
 
     def __init__(self, shift: timedelta) -> None:
         self.shift = shift
@@ -65,12 +65,12 @@
         return response.status
 
 
-def started(server: UpstreamServer) -> list[str]:
+def started_attempts(server: UpstreamServer) -> list[str]:
     return [entry.attempt_id for entry in server.model.log().entries if entry.event == "start"]
 
 
 def test_task_runs_and_answers(run):
-    """Guards against a protocol whose two sides disagree."""
+    """Guards against adapter and upstream that implement the protocol differently."""
 
     async def scenario():
         async with serving() as (server, client):
@@ -80,14 +80,14 @@
             assert result.payload == expected_answer(payload)
             assert (result.attempt_id, result.upstream_id) == (A, "w1")
             assert await client.start(request(payload=payload)) is StartReply.STARTED
-            assert started(server) == [A]
+            assert started_attempts(server) == [A]
             assert await client.result(B, LONG) is None
 
     run(scenario())
 
 
 def test_shape_and_list_arrive_unchanged(run):
-    """Guards against labels or amounts lost on the way, which recovery relies on."""
+    """Guards against labels or amounts, which recovery relies on, being lost in transmission."""
 
     async def scenario():
         async with serving() as (server, client):
@@ -126,7 +126,7 @@
 
 
 def test_stop_wakes_the_caller_that_waits_for_the_result(run):
-    """Guards against a cancelled job whose caller waits for the whole time."""
+    """Guards against a cancelled job whose caller waits until its timeout."""
 
     async def scenario():
         async with serving() as (_, client):
@@ -139,7 +139,7 @@
 
 
 def test_refusals_tell_their_reason(run):
-    """Guards against a start beyond capacity, behind the fence or at a leaving upstream."""
+    """Guards against a start beyond capacity, with a fenced epoch or at a leaving upstream."""
 
     async def scenario():
         async with serving() as (server, client):
@@ -152,13 +152,13 @@
             await set_faults(server, leaving=True)
             assert (await client.shape()).leaving
             assert await client.start(request(C, epoch=4)) is StartReply.REFUSED_LEAVING
-            assert started(server) == [A, B]
+            assert started_attempts(server) == [A, B]
 
     run(scenario())
 
 
 def test_stop_of_an_unknown_attempt_blocks_its_late_start(run):
-    """Guards against a job reported as not run whose start was only delayed."""
+    """Guards against a job that is reported as not run although its start was only delayed."""
 
     async def scenario():
         async with serving() as (_, client):
@@ -176,8 +176,7 @@
 
 @pytest.mark.parametrize("shift", [-HOUR, HOUR])
 def test_not_after_does_not_depend_on_equal_clocks(run, shift):
-    """Guards against starts that are refused, or late ones that are not, because wall clocks
-    differ."""
+    """Guards against wrongly refused or wrongly accepted starts because wall clocks differ."""
 
     async def scenario():
         async with serving(clock=ShiftedClock(shift)) as (_, client):
@@ -191,7 +190,7 @@
 
 
 def test_not_after_holds_when_the_upstream_clock_is_set_back(run):
-    """Guards against a not-after time an hour too late by a clock that was set back."""
+    """Guards against a not-after time that is an hour too late after a clock was set back."""
 
     async def scenario():
         clock = ShiftedClock(HOUR)
@@ -205,7 +204,7 @@
 
 
 def test_not_after_holds_after_a_long_time_without_calls(run):
-    """Guards against a not-after time off by the drift of two clocks since the last call."""
+    """Guards against a not-after time that is wrong by the clock drift since the last call."""
 
     async def scenario():
         clock = ShiftedClock(timedelta(0))
@@ -220,7 +219,7 @@
 
 
 def test_failed_check_sends_nothing(run):
-    """Guards against a start by an owner whose proof has expired."""
+    """Guards against a start by an owner whose proof of ownership has expired."""
 
     async def scenario():
         async with serving() as (server, client):
@@ -228,13 +227,13 @@
                 await client.start(request(), check=lambda: False)
             assert not caught.value.sent
             assert await client.start(request(B), check=lambda: True) is StartReply.STARTED
-            assert started(server) == [B]
+            assert started_attempts(server) == [B]
 
     run(scenario())
 
 
 def test_start_at_an_unreachable_upstream_is_reported_as_not_sent(run):
-    """Guards against an unknown outcome where the job can be placed elsewhere."""
+    """Guards against an unknown outcome of a job that can safely be placed elsewhere."""
 
     async def scenario():
         with socket.socket() as sock:
@@ -249,7 +248,7 @@
 
 
 def test_start_whose_answer_is_lost_took_effect(run):
-    """Guards against telling "not run" of a task that runs, and against a second start."""
+    """Guards against reporting a running task as not run, and against a second start."""
 
     async def scenario():
         async with serving() as (server, client):
@@ -259,13 +258,13 @@
                 await client.start(request(run=HOUR))
             assert caught.value.sent
             assert [task.attempt_id for task in await client.list_tasks()] == [A]
-            assert started(server) == [A]
+            assert started_attempts(server) == [A]
 
     run(scenario())
 
 
 def test_silent_connection_is_given_up_for_a_new_one(run):
-    """Guards against waiting for good on an established connection while new ones work."""
+    """Guards against waiting forever on an established connection while new ones work."""
 
     async def scenario():
         async with serving(timeout=SECOND) as (server, client):
@@ -281,7 +280,7 @@
 
 
 def test_answer_held_back_by_silence_is_found_on_a_new_connection(run):
-    """Guards against losing a result because the connection that waits for it went silent."""
+    """Guards against losing a result because the connection that waits for it is silent."""
 
     async def scenario():
         async with serving(timeout=SECOND) as (server, client):
@@ -319,7 +318,7 @@
     ("truncated", "error"), [("payload", ProtocolError), ("body", UnreachableError)]
 )
 def test_truncated_answer_is_discarded(run, truncated, error):
-    """Guards against a caller receiving a part of its answer."""
+    """Guards against a caller receiving a truncated answer."""
 
     async def scenario():
         async with serving() as (server, client):
@@ -335,7 +334,7 @@
 
 
 def test_late_answer_does_not_reach_the_next_request(run):
-    """Guards against an answer that arrives after its timeout being taken for another's."""
+    """Guards against an answer that arrives late being taken for that of the next request."""
 
     async def scenario():
         async with serving(timeout=SECOND) as (server, client):
