--- a/hornbeamramp/caller_api.py
+++ b/hornbeamramp/caller_api.py
@@ -51,7 +51,7 @@
 
 
 class JobBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Body of ``POST /v1/jobs``. Defaults for absent resources and run time come from the route.
+    """Body of ``POST /v1/jobs``. Absent resources, run time and idempotence come from the route.
 
     `payload`
         Any JSON value; passed to the upstream unchanged.
