--- a/hornbeamramp/preemption.py
+++ b/hornbeamramp/preemption.py
@@ -100,7 +100,7 @@
             # Urgent work beyond its own learned demand may be the start of a flood, so it preempts
             # nothing within the learned demand of others.
             attempts = [a for a in attempts if _exceeds_claim(a.state.flow, exceeds_claim_by_flow)]
-        free = pool.unheld_soon(upstream_id)
+        free = pool.unheld_with_pending_releases(upstream_id)
         loss = 0.0
         for plan in plan_upstream(upstream_id, amount, count, free, attempts, shares.share_of, now):
             # A plan depends on the earlier plans of its upstream, so it never ranks before them.
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -162,7 +162,7 @@
             # Second attempt of a task: only the first one's end counts, this one occupies capacity.
             self._reserve_unknown(upstream_id, attempt_id, job.resources, float("inf"))
             return
-        self._upstreams.know(upstream_id)
+        self._upstreams.add_placeholder(upstream_id)
         held = self._upstreams.ledger.reserve_unchecked(upstream_id, attempt_id, job.resources)
         reservation = held.unwrap()
         if epoch == self._epoch:
@@ -392,7 +392,7 @@
     ) -> None:
         if attempt_id in self._unknown_reservation_by_id or attempt_id in self._tasks.attempt_by_id:
             return
-        self._upstreams.know(upstream_id)
+        self._upstreams.add_placeholder(upstream_id)
         held = self._upstreams.ledger.reserve_unchecked(upstream_id, attempt_id, resources)
         self._unknown_reservation_by_id[attempt_id] = held.unwrap()
         heapq.heappush(self._unknown_expiry_heap, (until, attempt_id))
