--- a/hornbeamramp/admin_api.py
+++ b/hornbeamramp/admin_api.py
@@ -15,8 +15,8 @@
 from sanic.exceptions import SanicException
 
 from hornbeamramp.configuration import (
-    BrokenJoin,
     ConfigurationStore,
+    DanglingReference,
     MalformedProposal,
     ProposalError,
     StoreOutage,
@@ -229,7 +229,7 @@
         return problem(
             HTTPStatus.PRECONDITION_FAILED, detail, headers, outcome="not_run", current=row
         )
-    if isinstance(error, BrokenJoin):
+    if isinstance(error, DanglingReference):
         return problem(
             HTTPStatus.CONFLICT, error.message, outcome="not_run", names=list(error.names)
         )
--- a/hornbeamramp/config_head.py
+++ b/hornbeamramp/config_head.py
@@ -1,4 +1,4 @@
-"""Head and snapshot of the tables in the store, the chain of changes, and the merge of forks."""
+"""Head and snapshots of the tables in the store, the chain of changes, and the merge of forks."""
 
 import hashlib
 from collections.abc import Iterable
@@ -10,24 +10,25 @@
 from hornbeamramp.tables import Change, Tables, check_references
 
 __all__ = [
-    "RING_BYTES",
     "ConfigHead",
     "ConfigSnapshot",
     "ConfigState",
-    "Merge",
+    "MergeResult",
+    "RECENT_MAX_BYTES",
     "SnapshotRef",
     "chain_digest",
     "merge",
     "next_change",
 ]
 
-RING_BYTES = 48 * 1024
+# Bound on the encoded changes in the head; a snapshot replaces the older ones.
+RECENT_MAX_BYTES = 48 * 1024
 
 _encode = msgspec.msgpack.Encoder().encode
 
 
 class SnapshotRef(msgspec.Struct, frozen=True):
-    """Names a snapshot. The digest keeps the snapshots of a fork apart."""
+    """Reference to a snapshot. The digest distinguishes snapshots of forked chains."""
 
     revision: Revision
     digest: str
@@ -46,16 +47,16 @@
     """Record at ``config/head``.
 
     `revision`, `digest`
-        Of the last change. Two heads are the same if both are equal.
+        Of the last change. Two heads are identical if both are equal.
     `recent`
-        Ring of the last changes, without a gap, the last one at ``revision``.
+        Latest changes in order, without a gap, the last one at ``revision``.
     `base_digest`
-        Digest of the revision before the first change of the ring.
+        Digest of the revision before the first change in ``recent``.
     `snapshot`
-        Newest snapshot; the ring reaches back to it. ``None`` while the ring reaches back to
-        revision 0.
+        Newest snapshot; ``recent`` has all changes since. ``None`` while ``recent`` has all
+        changes since revision 0.
     `old_snapshot`
-        The snapshot before, kept for readers of the previous head until the next one is written.
+        Previous snapshot, kept for readers of an older head until the next snapshot is written.
     """
 
     revision: Revision = Revision(0)
@@ -67,24 +68,24 @@
 
 
 def chain_digest(previous: str, change: Change) -> str:
-    """Returns the digest of ``change`` after a change with digest ``previous``: 32 hex digits."""
+    """Returns the digest of ``change`` chained to digest ``previous``: 32 hex digits."""
     body = _encode(msgspec.structs.replace(change, digest=""))
     return hashlib.sha256(previous.encode() + body).hexdigest()[:32]
 
 
 def next_change(tables: Tables, change: Change) -> Change:
-    """Returns ``change`` with the revision and the digest that follow ``tables``."""
+    """Returns ``change`` with the revision and digest that come next after ``tables``."""
     change = msgspec.structs.replace(change, revision=Revision(tables.revision + 1), digest="")
     return msgspec.structs.replace(change, digest=chain_digest(tables.digest, change))
 
 
 class ConfigState(msgspec.Struct, frozen=True):
-    """Tables with the changes that led to them, as far as they are kept.
+    """Tables with the latest changes that led to them.
 
     `tables`
         Tables after the last change.
     `recent`
-        Last changes without a gap, the last one at the tables' revision.
+        Latest changes in order, without a gap, the last one at the tables' revision.
     `base_digest`
         Digest of the revision before the first of ``recent``.
     """
@@ -95,7 +96,7 @@
 
     @property
     def order(self) -> tuple[Revision, str]:
-        """Key by which every member ranks heads: the higher revision, then the digest."""
+        """Sort key of states, the same at every member: the revision, then the digest."""
         return self.tables.revision, self.tables.digest
 
     @property
@@ -110,13 +111,13 @@
         return self.recent[index - 1].digest if 0 < index <= len(self.recent) else None
 
     def changes_after(self, revision: Revision, digest: str) -> list[Change] | None:
-        """Returns the changes after that point, or ``None`` if it is not part of this chain."""
+        """Returns the changes after that point, or ``None`` if it is not on this chain."""
         if self.digest_at(revision) != digest:
             return None
         return list(self.recent[revision - self.base_revision :])
 
     def extend(self, changes: Iterable[Change]) -> "ConfigState | None":
-        """Returns the state after ``changes``, which may start with known ones.
+        """Returns the state after ``changes``, which may overlap with those already applied.
 
         Returns ``None`` if they have a gap or do not continue this chain.
         """
@@ -136,7 +137,7 @@
         return ConfigState(tables, tuple(recent), self.base_digest)
 
     def append(self, change: Change) -> "ConfigState":
-        """Returns the state after ``change``, which gets the next revision and digest."""
+        """Returns the state after ``change``, with the next revision and digest assigned to it."""
         change = next_change(self.tables, change)
         return ConfigState(self.tables.apply(change), (*self.recent, change), self.base_digest)
 
@@ -144,20 +145,20 @@
         """Returns the change with this id, if it is kept."""
         return next((change for change in self.recent if change.id == change_id), None)
 
-    def trim(self, limit: int) -> "ConfigState":
-        """Returns the state without the oldest changes, so that the rest has ``limit`` bytes.
+    def trim(self, max_bytes: int) -> "ConfigState":
+        """Drops the oldest changes until the rest has at most ``max_bytes`` bytes.
 
-        The last change is kept whatever its size: its id resolves a lost answer.
+        The last change is kept whatever its size: its id resolves a proposal whose reply was lost.
         """
         size, count = 0, 0
         for change in reversed(self.recent):
             size += len(_encode(change))
-            if count and size > limit:
+            if count and size > max_bytes:
                 break
             count += 1
-        return self.keep_from(Revision(self.tables.revision - count))
+        return self.drop_through(Revision(self.tables.revision - count))
 
-    def keep_from(self, revision: Revision) -> "ConfigState":
+    def drop_through(self, revision: Revision) -> "ConfigState":
         """Returns the state without the changes up to ``revision``."""
         base = self.digest_at(revision)
         if base is None or revision == self.base_revision:
@@ -165,7 +166,7 @@
         return ConfigState(self.tables, self.recent[revision - self.base_revision :], base)
 
     def is_consistent(self) -> bool:
-        """Tells whether the kept changes are a chain that ends at the tables."""
+        """Tells whether the kept changes form a chain that ends at the tables' revision."""
         revision, digest = self.base_revision, self.base_digest
         for change in self.recent:
             if change.revision != revision + 1 or change.digest != chain_digest(digest, change):
@@ -174,13 +175,13 @@
         return revision == self.tables.revision and digest == self.tables.digest
 
 
-class Merge(msgspec.Struct, frozen=True):
+class MergeResult(msgspec.Struct, frozen=True):
     """Result of `merge`.
 
     `state`
-        The winning chain, with the changes of the other one applied where possible.
+        Winning chain, followed by those changes of the other chain that could be applied.
     `forked`
-        Whether each side had changes that the other had not.
+        Whether each chain had changes that the other lacked.
     `dropped`
         Changes of the losing chain that could not be applied.
     """
@@ -190,36 +191,36 @@
     dropped: tuple[Change, ...] = ()
 
 
-def merge(one: ConfigState, other: ConfigState) -> Merge:
+def merge(one: ConfigState, other: ConfigState) -> MergeResult:
     """Merges two states so that every member gets the same result.
 
-    The state with the higher revision wins, then the one with the greater digest. Changes that
-    only the loser has are applied after it, under their ids, unless the winner has written the
-    same row since the fork or the join would break. States whose kept changes do not overlap
-    can't be compared; then the winner is taken as it is.
+    The state with the higher revision wins, at equal revisions the one with the greater digest.
+    Changes that only the loser has are appended to the winner's, with their ids, unless the winner
+    has written the same row since the fork or a route would refer to a missing pool. States whose
+    kept changes do not overlap can't be compared; then the winner is returned unchanged.
     """
     winner, loser = (one, other) if one.order >= other.order else (other, one)
     if winner.order == loser.order or loser.tables.revision == 0:
-        return Merge(winner)
+        return MergeResult(winner)
     common = _common_revision(winner, loser)
     if common is None or common == loser.tables.revision:
-        return Merge(winner)
-    since = winner.recent[common - winner.base_revision :]
-    written = {(change.table, change.name) for change in since}
-    known = {change.id for change in since}
+        return MergeResult(winner)
+    winner_changes = winner.recent[common - winner.base_revision :]
+    written_rows = {(change.table, change.name) for change in winner_changes}
+    known_ids = {change.id for change in winner_changes}
     dropped: list[Change] = []
     forked, merged = False, winner
     for change in loser.recent[common - loser.base_revision :]:
-        if change.id in known:
+        if change.id in known_ids:
             continue
         forked = True
-        result = merged.append(change)
-        joined = check_references(result.tables.route_by_name, result.tables.pool_by_name)
-        if (change.table, change.name) in written or isinstance(joined, Err):
+        candidate = merged.append(change)
+        references = check_references(candidate.tables.route_by_name, candidate.tables.pool_by_name)
+        if (change.table, change.name) in written_rows or isinstance(references, Err):
             dropped.append(change)
         else:
-            merged = result
-    return Merge(merged, forked, tuple(dropped))
+            merged = candidate
+    return MergeResult(merged, forked, tuple(dropped))
 
 
 def _common_revision(one: ConfigState, other: ConfigState) -> Revision | None:
--- a/hornbeamramp/config_proposal.py
+++ b/hornbeamramp/config_proposal.py
@@ -1,4 +1,4 @@
-"""Proposed changes to the operators' tables: their checks and the errors of a refusal."""
+"""Proposed changes to the configuration tables: their checks and the errors of a refusal."""
 
 from typing import Literal
 
@@ -9,7 +9,7 @@
 from hornbeamramp.tables import Change, Pool, Route, Tables, check_references
 
 __all__ = [
-    "BrokenJoin",
+    "DanglingReference",
     "MalformedProposal",
     "ProposalError",
     "StoreOutage",
@@ -33,8 +33,8 @@
     version: Revision | None
 
 
-class BrokenJoin(msgspec.Struct, frozen=True):
-    """A route would name a pool that does not exist. ``names`` are the routes."""
+class DanglingReference(msgspec.Struct, frozen=True):
+    """A route would refer to a pool that does not exist. ``names`` are these routes."""
 
     message: str
     names: list[str]
@@ -44,8 +44,8 @@
     """The store did not confirm the change.
 
     `outcome`
-        ``not_run`` if the change was not and will not be accepted; ``unknown`` if it may be. A
-        repeated proposal with the same change id tells.
+        ``not_run`` if the change was not and will not be accepted; ``unknown`` if it may be. To
+        find out, repeat the proposal with the same change id.
     """
 
     outcome: Literal["not_run", "unknown"]
@@ -58,7 +58,7 @@
     message: str
 
 
-ProposalError = VersionConflict | BrokenJoin | StoreOutage | MalformedProposal
+ProposalError = VersionConflict | DanglingReference | StoreOutage | MalformedProposal
 
 
 def make_change(
@@ -68,7 +68,7 @@
     if_match: Revision | None,
     change_id: ChangeId,
 ) -> Change:
-    """Returns the change, without a revision. Raises ``ValueError`` if it is malformed."""
+    """Returns the change with revision 0. Raises ``ValueError`` if it is malformed."""
     row_type = {"routes": Route, "pools": Pool}.get(table)
     if row_type is None:
         raise ValueError(f"no such table: {table}")
@@ -86,16 +86,18 @@
         route=row if table == "routes" else None,
         pool=row if table == "pools" else None,
     )
-    # Digests are over the encoded form, which must be the same after each decoding.
+    # Digests cover the encoded form, so a decoded change must encode to the same bytes again.
     return _change_decoder.decode(_encode(change))
 
 
-def compare_repeated(found: Change, change: Change) -> Result[Change, ProposalError]:
-    """Returns the accepted change ``found`` if ``change`` with the same id is a repetition."""
-    same = msgspec.structs.replace(found, revision=change.revision, digest=change.digest) == change
-    if not same:
+def compare_repeated(accepted: Change, change: Change) -> Result[Change, ProposalError]:
+    """Returns ``accepted`` if ``change``, which has the same id, is a repetition of it."""
+    is_same = (
+        msgspec.structs.replace(accepted, revision=change.revision, digest=change.digest) == change
+    )
+    if not is_same:
         return Err(MalformedProposal(f"change id {change.id} was used for another change"))
-    return Ok(found)
+    return Ok(accepted)
 
 
 def check_change(tables: Tables, change: Change, if_match: Revision | None) -> ProposalError | None:
@@ -104,9 +106,9 @@
     if version != if_match:
         return VersionConflict(current, version)
     after = tables.apply(change)
-    joined = check_references(after.route_by_name, after.pool_by_name)
-    if isinstance(joined, Err):
-        return BrokenJoin(joined.err_value.message, joined.err_value.names)
+    references = check_references(after.route_by_name, after.pool_by_name)
+    if isinstance(references, Err):
+        return DanglingReference(references.err_value.message, references.err_value.names)
     if len(_encode(after)) > TABLES_BYTES:
         return MalformedProposal(f"the tables would be larger than {TABLES_BYTES} bytes")
     return None
--- a/hornbeamramp/config_records.py
+++ b/hornbeamramp/config_records.py
@@ -1,10 +1,10 @@
-"""Reads and writes of the configuration's head and snapshots in the platform's store."""
+"""Reads and writes the configuration's head and snapshots in the platform's store."""
 
 import logbook
 import msgspec
 
 from hornbeamramp.config_head import (
-    RING_BYTES,
+    RECENT_MAX_BYTES,
     ConfigHead,
     ConfigSnapshot,
     ConfigState,
@@ -20,8 +20,9 @@
 log = logbook.Logger("config")
 
 HEAD_KEY = "config/head"
-# Ring kept when a snapshot is written: lets members that were away for a short time catch up.
-KEPT_RING_BYTES = RING_BYTES // 4
+# Changes kept in the head when a snapshot is written, so that members that were briefly
+# disconnected can catch up without reading the snapshot.
+RECENT_BYTES_AFTER_SNAPSHOT = RECENT_MAX_BYTES // 4
 
 _encode = msgspec.msgpack.Encoder().encode
 _head_decoder = msgspec.msgpack.Decoder(ConfigHead)
@@ -42,19 +43,19 @@
 
 
 class ConfigRecords:
-    """Head and snapshots in the store.
+    """Access to the head and the snapshots in the store.
 
     `platform`
-        Store of the records.
+        Platform with the store.
     """
 
     def __init__(self, platform: Platform) -> None:
         self._platform = platform
 
     async def load(self, head: ConfigHead, known: ConfigState) -> ConfigState:
-        """Returns the state at ``head``; reads the snapshot only if ``known`` does not lead there.
+        """Returns the state at ``head``; reads the snapshot only if it can't extend ``known``.
 
-        Raises `StoreUnavailableError`, and `ProtocolError` if the records do not fit.
+        Raises `StoreUnavailableError`, and `ProtocolError` if the records are inconsistent.
         """
         order = (head.revision, head.digest)
         state = known.extend(head.recent)
@@ -75,24 +76,24 @@
         return ConfigState(state.tables, tuple(head.recent), head.base_digest)
 
     async def build_head(self, state: ConfigState, old: ConfigHead) -> ConfigHead:
-        """Returns the head for ``state``, after writing a snapshot if the ring is full.
+        """Returns the head for ``state``; writes a snapshot first if the changes are too large.
 
         Raises `StoreUnavailableError`.
         """
-        ring = state.keep_from(Revision(old.revision - len(old.recent)))
+        kept_state = state.drop_through(Revision(old.revision - len(old.recent)))
         snapshot, old_snapshot = old.snapshot, old.old_snapshot
-        reach = snapshot or SnapshotRef(Revision(0), "")
-        size = sum(len(_encode(change)) for change in ring.recent)
-        if size > RING_BYTES or ring.digest_at(reach.revision) != reach.digest:
-            ring = state.trim(KEPT_RING_BYTES)
+        base_ref = snapshot or SnapshotRef(Revision(0), "")
+        size = sum(len(_encode(change)) for change in kept_state.recent)
+        if size > RECENT_MAX_BYTES or kept_state.digest_at(base_ref.revision) != base_ref.digest:
+            kept_state = state.trim(RECENT_BYTES_AFTER_SNAPSHOT)
             snapshot = SnapshotRef(state.tables.revision, state.tables.digest)
             old_snapshot = old.snapshot
             await self._put_snapshot(snapshot, state)
         return ConfigHead(
             state.tables.revision,
             state.tables.digest,
-            ring.base_digest,
-            list(ring.recent),
+            kept_state.base_digest,
+            list(kept_state.recent),
             snapshot,
             old_snapshot,
         )
@@ -108,10 +109,10 @@
                 await self._platform.put(snapshot.key(), value, None)
         except ConflictError:
             # The key contains the digest, so the stored snapshot is the same.
-            log.debug("snapshot of revision {} exists", snapshot.revision)
+            log.debug("snapshot of revision {} already exists", snapshot.revision)
 
     async def delete_old_snapshot(self, old: ConfigHead, new: ConfigHead) -> None:
-        """Deletes the snapshot that ``new`` no longer refers to. Errors leave it in place."""
+        """Deletes the snapshot that ``new`` no longer refers to. Errors are only logged."""
         if old.old_snapshot is None or old.old_snapshot in (new.snapshot, new.old_snapshot):
             return
         try:
@@ -119,4 +120,4 @@
             if entry is not None:
                 await self._platform.delete(entry.key, entry.version)
         except (ConflictError, StoreUnavailableError) as error:
-            log.debug("an old snapshot was not deleted: {}", error)
+            log.debug("old snapshot not deleted: {}", error)
--- a/hornbeamramp/configuration.py
+++ b/hornbeamramp/configuration.py
@@ -1,4 +1,4 @@
-"""The operators' tables in the platform's store: proposals, the watch, deltas between peers."""
+"""Configuration tables in the platform's store: proposals, the watch, deltas between peers."""
 
 import asyncio
 from collections import deque
@@ -11,13 +11,13 @@
 
 from hornbeamramp.clock import Clock
 from hornbeamramp.config_head import (
-    RING_BYTES,
+    RECENT_MAX_BYTES,
     ConfigHead,
     ConfigState,
     merge,
 )
 from hornbeamramp.config_proposal import (
-    BrokenJoin,
+    DanglingReference,
     MalformedProposal,
     ProposalError,
     StoreOutage,
@@ -40,8 +40,8 @@
 from hornbeamramp.tables import Change, Pool, Route, Tables
 
 __all__ = [
-    "BrokenJoin",
     "ConfigurationStore",
+    "DanglingReference",
     "MalformedProposal",
     "ProposalError",
     "StoreOutage",
@@ -53,7 +53,7 @@
 WATCH_WAIT = timedelta(seconds=25)
 RETRY_DELAY = timedelta(milliseconds=100)
 WATCH_RETRY_DELAY = timedelta(seconds=1)
-# Conflicts are other operators' changes; each of them means that one proposal got through.
+# Each conflict is caused by another proposal that was accepted, so retries make progress overall.
 CONFLICT_ATTEMPTS = 30
 OUTAGE_ATTEMPTS = 4
 UNMERGED_LIMIT = 8
@@ -61,8 +61,8 @@
 _encode = msgspec.msgpack.Encoder().encode
 
 
-class _Stored(msgspec.Struct, frozen=True):
-    """What the store holds. ``version`` is ``None`` if there is no head."""
+class _StoredState(msgspec.Struct, frozen=True):
+    """Head and state in the store. ``version`` is ``None`` if there is no head."""
 
     head: ConfigHead
     state: ConfigState
@@ -70,21 +70,21 @@
 
 
 class ConfigurationStore:
-    """Tables of one member: those in force here, and changes to those in the store.
+    """Configuration tables of one member, kept in sync with the head in the store.
 
     `platform`
-        Store; its calls count against the process's budget.
+        Platform with the store; its calls count against the process's budget.
     `clock`
-        Source of time for retries.
+        Clock for the delays between retries.
     `vm`
-        This member, for the log.
+        Id of this member, for log lines.
     `watch_wait`
         Longest wait of one watch call (default: 25 s).
 
     `fork_count`
-        Number of forks that this member has seen.
+        Number of forks that this member has detected.
     `dropped_changes`
-        Last changes that could not be kept when a fork was merged.
+        Latest changes that were dropped when a fork was merged, at most 100.
     """
 
     def __init__(
@@ -96,7 +96,7 @@
         self._vm = vm
         self._watch_wait = watch_wait
         self._state = ConfigState()
-        # Losing sides of forks seen without the store, to be merged when it is available.
+        # Losing states of forks found while the store was unavailable; merged when it is available.
         self._unmerged: list[ConfigState] = []
         self._ready = asyncio.Event()
         self._proposal_lock = asyncio.Lock()
@@ -106,21 +106,22 @@
 
     @property
     def tables(self) -> Tables:
-        """Tables in force at this member."""
+        """Tables that this member applies."""
         return self._state.tables
 
     def is_ready(self) -> bool:
-        """Tells whether the tables were loaded from the store or a peer."""
+        """Tells whether the tables have been loaded from the store or a peer."""
         return self._ready.is_set()
 
     async def wait_ready(self) -> None:
-        """Returns once the tables were loaded from the store or a peer."""
+        """Waits until the tables have been loaded from the store or a peer."""
         await self._ready.wait()
 
     def subscribe(self, callback: Callable[[Tables], None]) -> Callable[[], None]:
-        """Calls ``callback`` with the tables after each change; returns how to end that.
+        """Calls ``callback`` with the tables after each change.
 
-        The call is made in the event loop and must not block. Its exceptions are logged.
+        Returns a function that ends the subscription. The callback runs in the event loop and must
+        not block. Its exceptions are logged.
         """
         self._callbacks.append(callback)
         return lambda: self._callbacks.remove(callback)
@@ -135,8 +136,8 @@
     ) -> Result[Change, ProposalError]:
         """Writes a row, or deletes it if ``row`` is ``None``.
 
-        ``if_match`` is the version to replace, ``None`` if the row must not exist. A proposal
-        with the id of an accepted change returns that change.
+        ``if_match`` is the version to replace, ``None`` if the row must not exist. A repeated
+        proposal with the id of an accepted change returns that change.
         """
         try:
             change = make_change(table, name, row, if_match, change_id)
@@ -148,7 +149,7 @@
     async def _propose(
         self, change: Change, if_match: Revision | None
     ) -> Result[Change, ProposalError]:
-        # Version and revision of a put without an answer that may still take effect.
+        # Head version and revision of a put without a reply, which may still take effect.
         unresolved: tuple[int | None, Revision] | None = None
         message, outages, conflicts = "", 0, 0
         while outages < OUTAGE_ATTEMPTS and conflicts < CONFLICT_ATTEMPTS:
@@ -156,14 +157,15 @@
                 await self._clock.sleep(RETRY_DELAY * 2 ** (outages - 1))
             try:
                 stored = await self._reconcile(await self._platform.get(HEAD_KEY))
-                found = stored.state.find(change.id)
-                if found is not None:
-                    return compare_repeated(found, change)
+                accepted = stored.state.find(change.id)
+                if accepted is not None:
+                    return compare_repeated(accepted, change)
                 if unresolved is not None and stored.version != unresolved[0]:
                     if stored.state.base_revision >= unresolved[1]:
                         message = "too many later changes to tell"
                         break
-                    # The head has moved on without the change, so the put can't take effect.
+                    # The head has changed since without this change, so the version check of the
+                    # put fails and the put can't take effect.
                     unresolved = None
                 refusal = check_change(stored.state.tables, change, if_match)
                 if refusal is not None:
@@ -196,27 +198,27 @@
         return Err(StoreOutage("not_run" if unresolved is None else "unknown", message))
 
     async def run(self) -> None:
-        """Follows the head in the store until cancelled."""
+        """Watches the head in the store and applies its changes until cancelled."""
         available = True
         while True:
             try:
-                version = await self._follow(await self._platform.get(HEAD_KEY))
+                version = await self._process_head(await self._platform.get(HEAD_KEY))
                 available = True
                 while True:
                     result = await self._platform.watch(HEAD_KEY, version, self._watch_wait)
                     entry = next((e for e in result.changed if e.key == HEAD_KEY), None)
                     if entry is None:
-                        # Reads the head: a store restored without it reports no change.
+                        # Reads the head again: a store restored without it reports no change.
                         break
-                    version = await self._follow(entry)
+                    version = await self._process_head(entry)
             except (StoreUnavailableError, ProtocolError) as error:
                 if available:
-                    log.warning("{}: can't follow the tables: {}", self._vm, error)
+                    log.warning("{}: configuration watch failed, retrying: {}", self._vm, error)
                 available = False
                 await self._clock.sleep(WATCH_RETRY_DELAY)
 
     def on_config_delta(self, request: ConfigDeltaRequest) -> ConfigDeltaReply:
-        """Answers a peer with the changes it lacks, or the whole tables."""
+        """Returns the changes that a peer lacks, or the whole tables."""
         state, tables = self._state, self._state.tables
         reply = ConfigDeltaReply(tables.revision, digest=tables.digest)
         if state.order <= (request.after, request.digest):
@@ -231,7 +233,7 @@
     async def pull_from(
         self, peer_call: Callable[[ConfigDeltaRequest], Awaitable[ConfigDeltaReply]]
     ) -> bool:
-        """Fetches later changes from a peer and tells whether there were any.
+        """Fetches later changes from a peer and tells whether any were applied.
 
         ``peer_call`` sends the request; a `SchedulerError` from it is logged.
         """
@@ -239,7 +241,7 @@
         try:
             reply = await peer_call(ConfigDeltaRequest(tables.revision, tables.digest))
         except SchedulerError as error:
-            log.debug("{}: no changes from a peer: {}", self._vm, error)
+            log.debug("{}: configuration pull from a peer failed: {}", self._vm, error)
             return False
         if reply.tables is None:
             state = self._state.extend(reply.changes)
@@ -247,23 +249,27 @@
             state = ConfigState(reply.tables, tuple(reply.changes), reply.base_digest)
             state = state if state.is_consistent() else None
         if state is None:
-            log.warning("{}: a peer's changes to {} do not fit", self._vm, reply.revision)
+            log.warning(
+                "{}: rejected configuration delta of a peer at revision {}: gap or digest mismatch",
+                self._vm,
+                reply.revision,
+            )
             return False
         if state.tables.revision > 0:
             self._ready.set()
         return self._adopt(state)
 
-    async def _follow(self, entry: Entry | None) -> int:
+    async def _process_head(self, entry: Entry | None) -> int:
         stored = await self._reconcile(entry)
         if not self._ready.is_set():
             log.info("{}: tables loaded at revision {}", self._vm, self.tables.revision)
             self._ready.set()
         return stored.version or 0
 
-    async def _reconcile(self, entry: Entry | None) -> _Stored:
-        """Brings the head in the store and the state of this member to the same point.
+    async def _reconcile(self, entry: Entry | None) -> _StoredState:
+        """Brings the head in the store and the state of this member to the same revision.
 
-        Writes the member's state back if the store lacks part of it. Raises
+        Writes the merged state to the store if the store lacks part of it. Raises
         `StoreUnavailableError`, and `ProtocolError` if the head can't be read.
         """
         for _ in range(CONFLICT_ATTEMPTS):
@@ -274,11 +280,11 @@
             except ProtocolError:
                 if self._state.order <= (head.revision, head.digest):
                     raise
-                # A store restored in part lacks a snapshot; this member has a later revision.
+                # A partly restored store lacks a snapshot, but this member has a later revision.
                 head, stored = ConfigHead(), ConfigState()
             target, dropped, unmerged = stored, [], list(self._unmerged)
-            for known in (self._state, *unmerged):
-                merged = merge(target, known)
+            for local_state in (self._state, *unmerged):
+                merged = merge(target, local_state)
                 target = merged.state
                 dropped += merged.dropped
             if target.order != stored.order:
@@ -295,39 +301,41 @@
                     entry = await self._platform.get(HEAD_KEY)
                     continue
                 head = new_head
-            # A reply of a peer may have added others in the meantime.
-            self._unmerged = [known for known in self._unmerged if known not in unmerged]
+            # A peer's reply may have added other states during the calls to the store.
+            self._unmerged = [
+                local_state for local_state in self._unmerged if local_state not in unmerged
+            ]
             self._report_dropped(dropped)
             self._adopt(target)
-            return _Stored(head, target, version)
+            return _StoredState(head, target, version)
         raise StoreUnavailableError(
             Step.CHANGE_APPLIED, "store", "the head changed at each attempt", sent=False
         )
 
     def _adopt(self, state: ConfigState) -> bool:
-        """Puts ``state`` in force if it is later than the present one."""
-        ours = self._state
-        if state.order <= ours.order:
+        """Applies ``state`` if it is later than the current one; tells whether it did."""
+        current = self._state
+        if state.order <= current.order:
             return False
-        merged = merge(state, ours)
-        at_ours = state.digest_at(ours.tables.revision)
-        if at_ours is not None and at_ours != ours.tables.digest:
+        merged = merge(state, current)
+        digest_at_current = state.digest_at(current.tables.revision)
+        if digest_at_current is not None and digest_at_current != current.tables.digest:
             self.fork_count += 1
             log.error(
-                "{}: two chains of changes at revision {}; the one at revision {} is kept",
+                "{}: configuration fork at revision {}: keeping the chain that ends at revision {}",
                 self._vm,
-                ours.tables.revision,
+                current.tables.revision,
                 state.tables.revision,
             )
         if merged.state.order != state.order:
-            self._unmerged = [*self._unmerged[-UNMERGED_LIMIT:], ours]
-        self._state = state.trim(RING_BYTES)
+            self._unmerged = [*self._unmerged[-UNMERGED_LIMIT:], current]
+        self._state = state.trim(RECENT_MAX_BYTES)
         for callback in list(self._callbacks):
             try:
                 callback(state.tables)
             except Exception:
-                # A subscriber's fault must not keep the member from following the tables.
-                log.exception("{}: a subscriber failed", self._vm)
+                # An error in a subscriber must not stop the member from applying changes.
+                log.exception("{}: a subscriber to configuration changes failed", self._vm)
         return True
 
     def _report_dropped(self, changes: list[Change]) -> None:
@@ -335,7 +343,7 @@
             if change.id not in {known.id for known in self.dropped_changes}:
                 self.dropped_changes.append(change)
                 log.error(
-                    "{}: change {} of {}/{} lost to another one in a fork",
+                    "{}: fork merge dropped change {} of {}/{}",
                     self._vm,
                     change.id,
                     change.table,
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -8,10 +8,10 @@
 from result import Ok
 
 from hornbeamramp.clock import ManualClock
-from hornbeamramp.config_head import RING_BYTES, ConfigHead, ConfigState, merge
+from hornbeamramp.config_head import RECENT_MAX_BYTES, ConfigHead, ConfigState, merge
 from hornbeamramp.configuration import (
-    BrokenJoin,
     ConfigurationStore,
+    DanglingReference,
     MalformedProposal,
     StoreOutage,
     VersionConflict,
@@ -112,7 +112,7 @@
         )
         assert [result.is_ok() for result in results].count(True) == 1
         (refusal,) = [result.err() for result in results if result.is_err()]
-        assert isinstance(refusal, BrokenJoin) and refusal.names == ["weigh"]
+        assert isinstance(refusal, DanglingReference) and refusal.names == ["weigh"]
 
     run(scenario())
 
@@ -435,7 +435,7 @@
             largest = max(largest, len(entry.value))
         # A snapshot is written once in many changes, not with each of them.
         assert store.calls_by_name["put"] < 1_200 * 1.05
-        assert RING_BYTES // 2 < largest < RING_BYTES + 1_000
+        assert RECENT_MAX_BYTES // 2 < largest < RECENT_MAX_BYTES + 1_000
         assert sum("snapshot" in entry.key for entry in store.entries()) <= 2
         await second.propose("pools", "x", pool("x"), Revision(99), "none")
         assert second.tables == first.tables
