--- a/hornbeamramp/config_head.py
+++ b/hornbeamramp/config_head.py
@@ -146,7 +146,7 @@
         return next((change for change in self.recent if change.id == change_id), None)
 
     def trim(self, max_bytes: int) -> "ConfigState":
-        """Drops the oldest changes until the rest has at most ``max_bytes`` bytes.
+        """Returns the state without its oldest changes; the rest has at most ``max_bytes`` bytes.
 
         The last change is kept whatever its size: its id resolves a proposal whose reply was lost.
         """
--- a/hornbeamramp/entry.py
+++ b/hornbeamramp/entry.py
@@ -1,4 +1,4 @@
-"""One entry process: listeners around its parts, start and graceful shutdown."""
+"""An entry process: its listeners, startup and graceful shutdown."""
 
 import asyncio
 import signal
@@ -24,8 +24,8 @@
 
 __all__ = ["EntryProcess", "serve"]
 
-DRAIN_POLL = timedelta(milliseconds=50)
-DRAIN_LIMIT = timedelta(minutes=10)
+DRAIN_POLL_INTERVAL = timedelta(milliseconds=50)
+DRAIN_TIMEOUT = timedelta(minutes=10)
 RPC_GRACE = timedelta(seconds=5)
 UPSTREAM_TIMEOUT = timedelta(seconds=2)
 
@@ -33,7 +33,7 @@
 
 
 class EntryProcess:
-    """An entry process: the parts, and the listeners for callers, operators and peers."""
+    """An entry process: its `EntryParts` and the listeners for callers, operators and peers."""
 
     def __init__(self, settings: Settings, clock: Clock | None = None) -> None:
         self.settings = settings
@@ -42,17 +42,17 @@
         self.peer_server = PeerServer(
             settings.peer_address, settings.vm, settings.data_centre, settings.tls
         )
-        self._wired = asyncio.Event()
+        self._parts_created = asyncio.Event()
 
     async def start(self) -> None:
-        """Binds the listeners, joins the members and begins to serve.
+        """Binds the listeners, joins the cluster and begins to serve.
 
         Raises ``OSError`` if an address can't be bound.
         """
         for request_type in REQUEST_TYPES:
             self.peer_server.handle(request_type, self._handle)
         await self.peer_server.start()
-        # The bound port is published, so that settings may name port 0.
+        # Peers are given the port that was bound, since the settings may have port 0.
         host = self.settings.peer_address.rpartition(":")[0]
         settings = msgspec.structs.replace(
             self.settings, peer_address=f"{host}:{self.peer_server.port}"
@@ -64,7 +64,7 @@
             self.peer_client,
             lambda pool, upstream: _open_upstream(pool, upstream, self.clock),
         )
-        self._wired.set()
+        self._parts_created.set()
         self.parts.start()
         await self._start_http()
         _log.info(
@@ -74,9 +74,10 @@
         )
 
     async def stop(self) -> None:
-        """Shuts down without cutting off a request in flight.
+        """Shuts down without interrupting requests in flight.
 
-        Not ready first, a pause for the balancer, shards handed over, answers finished.
+        Reports not ready and waits for the load balancer to notice, stops accepting connections,
+        hands over the shards, waits for open requests, and closes the remaining listeners.
         """
         _log.info("shutting down")
         self.parts.set_leaving()
@@ -91,17 +92,17 @@
             await self.admin_server.stop()
         await self.parts.end()
         await self.peer_client.close()
-        _log.info("shut down")
+        _log.info("shutdown complete")
 
     async def _handle(self, request: Any) -> Any:
-        # The port is bound before the parts exist.
-        await self._wired.wait()
+        # Requests can arrive before the parts are created, since the port is bound first.
+        await self._parts_created.wait()
         return await self.parts.handle(request)
 
     async def _wait_for_requests(self) -> None:
-        give_up_at = self.clock.boot_time() + DRAIN_LIMIT
-        while self.caller_requests.count > 0 and self.clock.boot_time() < give_up_at:
-            await self.clock.sleep(DRAIN_POLL)
+        deadline = self.clock.boot_time() + DRAIN_TIMEOUT
+        while self.caller_requests.count > 0 and self.clock.boot_time() < deadline:
+            await self.clock.sleep(DRAIN_POLL_INTERVAL)
 
     async def _start_http(self) -> None:
         parts = self.parts
@@ -140,10 +141,10 @@
     setup_logs(settings.log)
     setup_telemetry(settings)
     process = EntryProcess(settings)
-    ended = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, ended.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     await process.start()
     admin = process.admin_server.port if process.admin_server is not None else 0
     print(
@@ -151,7 +152,7 @@
         f"admin={admin}",
         flush=True,
     )
-    await ended.wait()
+    await stop_requested.wait()
     await process.stop()
 
 
--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -1,4 +1,4 @@
-"""The parts of an entry process without its listeners, wired together."""
+"""Assembly of an entry process without its listeners."""
 
 import asyncio
 import contextlib
@@ -29,10 +29,10 @@
 
 __all__ = ["REQUEST_TYPES", "EntryParts"]
 
-# Shorter than the time for which nobody claims after the store's return.
+# Shorter than the delay before shards are claimed once the store is available again.
 STORE_CHECK_INTERVAL = timedelta(milliseconds=500)
 VM_LIST_INTERVAL = timedelta(seconds=3)
-SEED_DELAY = timedelta(seconds=1)
+SEED_INTERVAL = timedelta(seconds=1)
 PULL_TIMEOUT = timedelta(seconds=2)
 
 REQUEST_TYPES: tuple[type, ...] = (
@@ -55,11 +55,11 @@
     """Membership, ownership, configuration, owned shards and forwarding of one process.
 
     `platform`
-        Platform adapter; wrapped with the process's budget of calls.
+        Platform adapter; wrapped to apply the process's call budget.
     `peers`
-        Caller of other entry processes.
+        Client for calls to other entry processes.
     `open_upstream`
-        Makes the adapter of an upstream of a pool.
+        Creates the adapter for an upstream of a pool.
     """
 
     def __init__(
@@ -77,7 +77,7 @@
         self.refusing = False
         self.platform = BudgetedPlatform(platform, clock, settings.platform.calls_per_second)
         self.configuration = ConfigurationStore(self.platform, clock, settings.vm)
-        self.membership = Membership(settings, self.platform, peers, clock, self._beat_content)
+        self.membership = Membership(settings, self.platform, peers, clock, self._heartbeat_content)
         self.shards = OwnedShards(
             settings,
             clock,
@@ -93,7 +93,7 @@
             peers,
             clock,
             settings.timing,
-            self._own_shards,
+            self._local_shards,
             self.shards.gained,
             self.shards.lost,
             UpstreamObserver(lambda: self.configuration.tables, open_upstream),
@@ -111,33 +111,33 @@
             lambda: self.ready,
         )
         self.cluster_status.observe(self.metrics)
-        self.configuration.subscribe(self._on_tables)
+        self.configuration.subscribe(self._on_tables_changed)
         self.membership.add_heartbeat_listener(self._on_heartbeat)
         self._peers = peers
         self._pulling = False
-        self._handler_by_type = self._handlers()
+        self._handler_by_type = self._build_handlers()
         self._tasks = BackgroundTasks(settings.vm, _log)
 
     def start(self) -> None:
-        """Joins the members and begins to serve."""
-        for part in (
+        """Joins the cluster and begins to serve."""
+        for coroutine in (
             self.configuration.run(),
             self.membership.run(),
             self.ownership.run(),
-            self._follow_vm_list(),
-            self._follow_store(),
-            self._become_ready(),
-            self._join_by_seeds(),
+            self._poll_vm_list(),
+            self._watch_store_availability(),
+            self._set_ready_when_loaded(),
+            self._contact_seed_peers(),
         ):
-            self._tasks.spawn(part)
+            self._tasks.spawn(coroutine)
 
     def set_leaving(self) -> None:
-        """Tells balancer and peers that this process takes no new work soon."""
+        """Tells load balancer and peers that this process is about to stop taking new work."""
         self.ready = False
         self.membership.set_leaving()
 
     async def end(self) -> None:
-        """Stops everything and ends the process lease. Shards should be handed over before."""
+        """Stops all tasks and revokes the process lease. Hand over the shards before."""
         await self._tasks.cancel()
         for shard in list(self.shards.owner_by_shard):
             await self.shards.lost(shard)
@@ -146,12 +146,12 @@
         await self.platform.close()
 
     async def handle(self, request: Any) -> Any:
-        """Answers a request of a peer, or of this process's own forwarder."""
+        """Handles a request of a peer or of this process's own forwarder."""
         reply = self._handler_by_type[type(request)](request)
         return await reply if asyncio.iscoroutine(reply) else reply
 
     def owner_of(self, shard: ShardId) -> VmId | None:
-        """Returns the VM that is believed to own the shard."""
+        """Returns the VM that owns the shard, as far as is known."""
         return self.ownership.owner_of(shard)
 
     def address_of(self, vm: VmId) -> str | None:
@@ -160,11 +160,11 @@
         return member.peer_address if member is not None and member.peer_address else None
 
     def beat_of(self, shard: ShardId) -> messages.ShardBeat | None:
-        """Returns the latest heartbeat about the shard."""
+        """Returns the latest heartbeat entry of the shard."""
         beat = self.membership.beat_of(shard)
         return None if beat is None else beat[0]
 
-    def _handlers(self) -> dict[type, Callable[[Any], Any]]:
+    def _build_handlers(self) -> dict[type, Callable[[Any], Any]]:
         return {
             messages.Heartbeat: self.membership.on_heartbeat,
             messages.SubmitRequest: self.shards.submit,
@@ -178,25 +178,25 @@
             messages.StatusRequest: self.cluster_status.reply,
         }
 
-    def _beat_content(self) -> tuple[Revision, dict[ShardId, messages.ShardBeat]]:
+    def _heartbeat_content(self) -> tuple[Revision, dict[ShardId, messages.ShardBeat]]:
         return self.configuration.tables.revision, self.shards.beats()
 
-    def _own_shards(self) -> list[ShardId]:
-        own = self.settings.data_centre
+    def _local_shards(self) -> list[ShardId]:
+        local = self.settings.data_centre
         return [
-            shard_id(pool.name, own)
+            shard_id(pool.name, local)
             for pool in self.configuration.tables.pool_by_name.values()
-            if own in pool.data_centres()
+            if local in pool.data_centres()
         ]
 
-    def _on_tables(self, _: Tables) -> None:
+    def _on_tables_changed(self, _: Tables) -> None:
         self.shards.tables_changed()
 
-    def _on_heartbeat(self, beat: messages.Heartbeat) -> None:
+    def _on_heartbeat(self, heartbeat: messages.Heartbeat) -> None:
         """Fetches changes that a peer has and this member lacks."""
-        if beat.revision > self.configuration.tables.revision and not self._pulling:
+        if heartbeat.revision > self.configuration.tables.revision and not self._pulling:
             self._pulling = True
-            self._tasks.spawn(self._pull_from(beat.vm))
+            self._tasks.spawn(self._pull_from(heartbeat.vm))
 
     async def _pull_from(self, vm: VmId) -> None:
         address = self.address_of(vm)
@@ -212,26 +212,26 @@
 
         await self.configuration.pull_from(call)
 
-    async def _join_by_seeds(self) -> None:
-        """Introduces this process to the seed peers while the store does not answer."""
-        await self.clock.sleep(SEED_DELAY)
+    async def _contact_seed_peers(self) -> None:
+        """Sends heartbeats to the seed peers and fetches their tables until a lease is granted."""
+        await self.clock.sleep(SEED_INTERVAL)
         while self.membership.lease.id is None and self.settings.seed_peers:
             for address in self.settings.seed_peers:
                 try:
                     await self.membership.send_heartbeat(address, PULL_TIMEOUT)
                 except (UnreachableError, ProtocolError) as error:
-                    _log.debug("seed peer {}: {}", address, error.message)
+                    _log.debug("heartbeat to seed peer {} failed: {}", address, error.message)
                 else:
                     await self._pull(address)
-            await self.clock.sleep(SEED_DELAY)
+            await self.clock.sleep(SEED_INTERVAL)
 
-    async def _become_ready(self) -> None:
+    async def _set_ready_when_loaded(self) -> None:
         await self.configuration.wait_ready()
         self.ready = True
-        _log.info("ready with revision {}", self.configuration.tables.revision)
+        _log.info("ready with configuration revision {}", self.configuration.tables.revision)
 
-    async def _follow_store(self) -> None:
-        """Checks the journals when the store is available again."""
+    async def _watch_store_availability(self) -> None:
+        """Lets the shard owners restore their journals when the store is available again."""
         available = True
         while True:
             await self.clock.sleep(STORE_CHECK_INTERVAL)
@@ -240,8 +240,8 @@
                 _log.info("the store is available again")
                 await self.shards.on_store_available()
 
-    async def _follow_vm_list(self) -> None:
-        """Gives upstreams that the platform lists as leaving no new work."""
+    async def _poll_vm_list(self) -> None:
+        """Polls the platform's VM list and marks upstreams on leaving VMs, which get no new work."""
         while True:
             with contextlib.suppress(StoreUnavailableError):
                 listed = await self.platform.list_vms()
