--- a/hornbeamramp/admin_api.py
+++ b/hornbeamramp/admin_api.py
@@ -42,19 +42,20 @@
     token: str,
     configuration: ConfigurationStore,
     status: Callable[[], Awaitable[dict[str, Any]]],
-    in_force: Callable[[Revision, timedelta], Awaitable[dict[str, bool]]],
+    wait_applied: Callable[[Revision, timedelta], Awaitable[dict[str, bool]]],
 ) -> Sanic:
-    """Returns the application of the listener for operators.
+    """Returns the application that the listener for operators serves.
 
     `status`
-        Document of ``GET /v1/status``.
-    `in_force`
-        Tells for each data centre whether a revision is in force at all reachable members.
+        Returns the document of ``GET /v1/status``.
+    `wait_applied`
+        Waits up to the given time until all reachable members have applied a revision; tells for
+        each data centre whether they have.
     """
     app = new_app(f"operators-{settings.vm}", settings.limits)
-    api = _AdminApi(configuration, status, in_force)
+    api = _AdminApi(configuration, status, wait_applied)
     for table in ROW_TYPE_BY_TABLE:
-        _add_table(app, api, table)
+        _add_table_routes(app, api, table)
     app.add_route(api.status, "/v1/status")
     app.add_route(api.metrics, "/metrics")
     app.register_middleware(_TokenCheck(token), "request")
@@ -62,7 +63,7 @@
     return app
 
 
-def _add_table(app: Sanic, api: "_AdminApi", table: str) -> None:
+def _add_table_routes(app: Sanic, api: "_AdminApi", table: str) -> None:
     async def list_rows(request: Request) -> HTTPResponse:
         return api.list_rows(table)
 
@@ -75,11 +76,11 @@
     async def delete_row(request: Request, name: str) -> HTTPResponse:
         return await api.delete_row(request, table, name)
 
-    row = f"/v1/{table}/<name:str>"
+    row_path = f"/v1/{table}/<name:str>"
     app.add_route(list_rows, f"/v1/{table}", name=f"list_{table}")
-    app.add_route(get_row, row, name=f"get_{table}")
-    app.add_route(put_row, row, methods=["PUT"], name=f"put_{table}")
-    app.add_route(delete_row, row, methods=["DELETE"], name=f"delete_{table}")
+    app.add_route(get_row, row_path, name=f"get_{table}")
+    app.add_route(put_row, row_path, methods=["PUT"], name=f"put_{table}")
+    app.add_route(delete_row, row_path, methods=["DELETE"], name=f"delete_{table}")
 
 
 class _TokenCheck:
@@ -89,9 +90,9 @@
         self._expected = f"Bearer {token}".encode()
 
     async def __call__(self, request: Request) -> HTTPResponse | None:
-        # Sanic decodes bytes that are not UTF-8 to surrogates.
-        given = request.headers.get("authorization", "").encode(errors="surrogateescape")
-        if hmac.compare_digest(given, self._expected):
+        # Sanic decodes bytes that are not UTF-8 to surrogate escapes.
+        received = request.headers.get("authorization", "").encode(errors="surrogateescape")
+        if hmac.compare_digest(received, self._expected):
             return None
         headers = {"WWW-Authenticate": "Bearer"}
         detail = "a bearer token is required"
@@ -103,20 +104,20 @@
         self,
         configuration: ConfigurationStore,
         status: Callable[[], Awaitable[dict[str, Any]]],
-        in_force: Callable[[Revision, timedelta], Awaitable[dict[str, bool]]],
+        wait_applied: Callable[[Revision, timedelta], Awaitable[dict[str, bool]]],
     ) -> None:
         self._configuration = configuration
         self._status = status
-        self._in_force = in_force
+        self._wait_applied = wait_applied
 
     def list_rows(self, table: str) -> HTTPResponse:
         tables = self._configuration.tables
-        rows, versions = _rows(tables, table)
+        rows, versions = _rows_and_versions(tables, table)
         items = [_row_body(rows[name], versions[name]) for name in sorted(rows)]
         return json_response({"revision": tables.revision, table: items})
 
     def get_row(self, table: str, name: str) -> HTTPResponse:
-        rows, versions = _rows(self._configuration.tables, table)
+        rows, versions = _rows_and_versions(self._configuration.tables, table)
         if name not in rows:
             return problem(HTTPStatus.NOT_FOUND, f"no row {name!r} in {table}")
         headers = {"ETag": _etag(versions[name])}
@@ -124,7 +125,7 @@
 
     async def put_row(self, request: Request, table: str, name: str) -> HTTPResponse:
         try:
-            if_match = _precondition(request)
+            if_match = _expected_version(request)
             row = _decode_row(request.body, table, name)
         except (ValueError, msgspec.MsgspecError) as error:
             return problem(HTTPStatus.BAD_REQUEST, str(error), outcome="not_run")
@@ -134,7 +135,7 @@
 
     async def delete_row(self, request: Request, table: str, name: str) -> HTTPResponse:
         try:
-            if_match = _precondition(request)
+            if_match = _expected_version(request)
         except ValueError as error:
             return problem(HTTPStatus.BAD_REQUEST, str(error), outcome="not_run")
         except LookupError as error:
@@ -166,12 +167,12 @@
             "accepted": True,
             "change": change.id,
             "revision": change.revision,
-            "in_force": await self._in_force(change.revision, _preferred_wait(request)),
+            "in_force": await self._wait_applied(change.revision, _preferred_wait(request)),
         }
         return json_response(body, headers={"ETag": _etag(change.revision)})
 
 
-def _rows(tables: Tables, table: str) -> tuple[dict[str, Any], dict[str, Revision]]:
+def _rows_and_versions(tables: Tables, table: str) -> tuple[dict[str, Any], dict[str, Revision]]:
     if table == "routes":
         return tables.route_by_name, tables.route_version_by_name
     return tables.pool_by_name, tables.pool_version_by_name
@@ -185,7 +186,7 @@
     return f'"{version}"'
 
 
-def _precondition(request: Request) -> Revision | None:
+def _expected_version(request: Request) -> Revision | None:
     """Returns the expected row version, ``None`` if the row must not exist.
 
     Raises ``LookupError`` if the request has no precondition, ``ValueError`` if it is malformed.
@@ -202,15 +203,15 @@
 
 
 def _preferred_wait(request: Request) -> timedelta:
-    """Returns how long the caller wants to wait for the change to be in force everywhere."""
+    """Returns how long to wait until all members have applied the change; 60 s at most."""
     match = re.search(r"\bwait=(\d{1,3})\b", request.headers.get("prefer", ""))
     return timedelta(seconds=min(int(match.group(1)), 60) if match else 0)
 
 
 def _decode_row(body: bytes, table: str, name: str) -> Route | Pool:
-    """Returns the row of a request body. ``name`` in the body may be left out, ``version`` given.
+    """Returns the row in a request body. Its ``name`` is optional and ``version`` is ignored.
 
-    Raises ``ValueError`` or ``msgspec.ValidationError`` naming the field.
+    Raises ``ValueError`` or ``msgspec.ValidationError`` that names the field.
     """
     fields = msgspec.json.decode(body, type=dict[str, Any])
     fields.pop("version", None)
@@ -248,5 +249,5 @@
     if isinstance(error, SanicException):
         outcome = "unknown" if getattr(request.ctx, "proposed", False) else "not_run"
         return http_problem(error, outcome)
-    _log.error("a request failed: {!r}", error)
+    _log.error("admin API request failed: {!r}", error)
     return problem(HTTPStatus.INTERNAL_SERVER_ERROR, "internal error", outcome="unknown")
--- a/hornbeamramp/admin_client.py
+++ b/hornbeamramp/admin_client.py
@@ -14,7 +14,7 @@
 
 
 class AdminProblem(msgspec.Struct, frozen=True):
-    """A refusal of the admin API, or that it did not answer (status 0)."""
+    """An error reply of the admin API. ``status`` is 0 if there was no valid reply."""
 
     status: int
     detail: str
@@ -22,14 +22,14 @@
 
 
 class AdminClient:
-    """Calls the admin API of one entry VM.
+    """Client of the admin API of one entry VM.
 
     `base_url`
         For instance ``http://10.0.0.5:8082``.
     `token`
         Bearer token.
     `ca_file`
-        Certificates to trust for ``https``, or ``None`` for those of the system.
+        CA certificates to trust for ``https``, or ``None`` for those of the system.
     """
 
     def __init__(self, base_url: str, token: str, ca_file: Path | None = None) -> None:
@@ -46,14 +46,16 @@
     async def put_row(
         self, table: str, name: str, row: dict[str, Any], version: int | None
     ) -> Result[dict[str, Any], AdminProblem]:
-        """Writes a row. ``version`` is the one to replace, ``None`` to create the row."""
-        headers = _precondition(version)
+        """Writes a row. ``version`` is the version to replace, ``None`` to create the row."""
+        headers = _precondition_headers(version)
         return await self._request("PUT", f"/v1/{table}/{name}", row, headers)
 
     async def delete_row(
         self, table: str, name: str, version: int
     ) -> Result[dict[str, Any], AdminProblem]:
-        return await self._request("DELETE", f"/v1/{table}/{name}", None, _precondition(version))
+        return await self._request(
+            "DELETE", f"/v1/{table}/{name}", None, _precondition_headers(version)
+        )
 
     async def status(self) -> Result[dict[str, Any], AdminProblem]:
         return await self._request("GET", "/v1/status")
@@ -67,7 +69,7 @@
     ) -> Result[dict[str, Any], AdminProblem]:
         timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
         try:
-            trust = (
+            ssl_context = (
                 True if self._ca_file is None else ssl.create_default_context(cafile=self._ca_file)
             )
             async with (
@@ -76,7 +78,7 @@
                     method,
                     self._base_url + path,
                     json=body,
-                    ssl=trust,
+                    ssl=ssl_context,
                     headers={**self._headers, **(headers or {})},
                 ) as response,
             ):
@@ -91,5 +93,5 @@
             return Err(AdminProblem(0, f"{self._base_url}: not a JSON document: {error}"))
 
 
-def _precondition(version: int | None) -> dict[str, str]:
+def _precondition_headers(version: int | None) -> dict[str, str]:
     return {"If-None-Match": "*"} if version is None else {"If-Match": f'"{version}"'}
--- a/hornbeamramp/checks.py
+++ b/hornbeamramp/checks.py
@@ -1,4 +1,4 @@
-"""Checks settings and table files without starting anything."""
+"""Checks of settings and table files, without starting a process."""
 
 import ssl
 from pathlib import Path
@@ -14,14 +14,14 @@
 
 
 class TableFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Rows of both tables, as ``hornbeamramp check`` reads them."""
+    """File with rows of both tables, as read by ``hornbeamramp check``."""
 
     routes: list[Route] = []
     pools: list[Pool] = []
 
 
 def check_file(path: Path) -> Result[str, str]:
-    """Checks a file and returns what it was found to be, or what is wrong and where.
+    """Checks a file. Returns a summary, or the first error with its place in the file.
 
     A mapping with ``routes`` or ``pools`` is a table file, anything else a settings file.
     """
@@ -40,9 +40,9 @@
 
 
 def check_key_files(settings: Settings) -> Result[None, str]:
-    """Checks that the files the settings name can be read and that key and certificate match.
+    """Checks that the files named in the settings are readable and that key and certificate match.
 
-    The error names the field and the file, never the contents.
+    The error message contains the field and the file name, never the contents of a file.
     """
     for field, path in _key_files(settings):
         try:
@@ -56,7 +56,7 @@
         return Ok(None)
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     try:
-        # The empty password makes an encrypted key an error instead of a prompt.
+        # With the empty password, an encrypted key causes an error instead of a prompt.
         context.load_cert_chain(tls.certificate_file, tls.key_file, password="")
     except (OSError, ValueError):
         return Err(f"$.tls: {tls.key_file} and {tls.certificate_file} are no pair of PEM files")
@@ -64,7 +64,7 @@
         if tls.ca_file is not None:
             context.load_verify_locations(tls.ca_file)
     except OSError:
-        return Err(f"$.tls.ca_file: {tls.ca_file} holds no PEM certificate")
+        return Err(f"$.tls.ca_file: {tls.ca_file} contains no PEM certificate")
     return Ok(None)
 
 
@@ -83,11 +83,13 @@
 def _check_tables(tables: TableFile) -> Result[str, str]:
     for kind, rows in (("route", tables.routes), ("pool", tables.pools)):
         names = [row.name for row in rows]
-        twice = sorted({name for name in names if names.count(name) > 1})
-        if twice:
-            return Err(f"{kind} named twice: {', '.join(twice)}")
-    joined = check_references({r.name: r for r in tables.routes}, {p.name: p for p in tables.pools})
-    if isinstance(joined, Err):
-        error = joined.err_value
-        return Err(f"{error.message} (named by {', '.join(error.names)})")
+        duplicates = sorted({name for name in names if names.count(name) > 1})
+        if duplicates:
+            return Err(f"{kind} defined more than once: {', '.join(duplicates)}")
+    references = check_references(
+        {r.name: r for r in tables.routes}, {p.name: p for p in tables.pools}
+    )
+    if isinstance(references, Err):
+        error = references.err_value
+        return Err(f"{error.message} (referenced by {', '.join(error.names)})")
     return Ok(f"{len(tables.routes)} routes and {len(tables.pools)} pools are valid")
--- a/hornbeamramp/cli.py
+++ b/hornbeamramp/cli.py
@@ -1,4 +1,4 @@
-"""Command line. Each command translates to calls of the library."""
+"""Command line interface. Each command maps to calls of the library."""
 
 import asyncio
 import json
@@ -24,15 +24,15 @@
 EXIT_USAGE = 2
 
 app = App(name="hornbeamramp", version=__version__, help="Cluster scheduler.")
-route_app = App(name="route", help="Read and write the table of routes.")
-pool_app = App(name="pool", help="Read and write the table of pools.")
+route_app = App(name="route", help="Read and write the routes table.")
+pool_app = App(name="pool", help="Read and write the pools table.")
 app.command(route_app)
 app.command(pool_app)
 app.register_install_completion_command()
 
 
-class Connection(msgspec.Struct, frozen=True):
-    """Where the admin API answers, the file that holds the bearer token, and whom to trust."""
+class AdminEndpoint(msgspec.Struct, frozen=True):
+    """Base URL of the admin API, file with the bearer token, and file with CA certificates."""
 
     admin: str
     token_file: Path
@@ -42,7 +42,9 @@
         try:
             token = self.token_file.read_text().strip()
         except OSError as error:
-            _fail(f"{self.token_file}: can't read the file: {error.strerror}", EXIT_USAGE)
+            _exit_with_error(
+                f"{self.token_file}: can't read the file: {error.strerror}", EXIT_USAGE
+            )
         return AdminClient(self.admin, token, self.ca_file)
 
 
@@ -54,40 +56,42 @@
 ]
 CaFile = Annotated[
     Path | None,
-    Parameter(env_var="HORNBEAMRAMP_CA_FILE", help="Certificates to trust for https."),
+    Parameter(
+        env_var="HORNBEAMRAMP_CA_FILE", help="File with the CA certificates to trust for https."
+    ),
 ]
 Json = Annotated[bool, Parameter(name="--json", help="Print JSON.", negative="")]
 
 
 @app.command
 def serve(*, config: Path) -> None:
-    """Run one entry process until SIGTERM."""
+    """Run an entry process until SIGTERM or SIGINT."""
     from hornbeamramp.checks import check_key_files
     from hornbeamramp.entry import serve as run_entry
 
     settings = load_settings(config)
     if isinstance(settings, Err):
-        _fail(f"{settings.err_value.file}: {settings.err_value.message}", EXIT_USAGE)
+        _exit_with_error(f"{settings.err_value.file}: {settings.err_value.message}", EXIT_USAGE)
     files = check_key_files(settings.ok_value)
     if isinstance(files, Err):
-        _fail(f"{config}: {files.err_value}", EXIT_USAGE)
+        _exit_with_error(f"{config}: {files.err_value}", EXIT_USAGE)
     uvloop.run(run_entry(settings.ok_value))
 
 
 @app.command
 def check(file: Path) -> None:
-    """Check a settings file, or a JSON or YAML file with tables, without starting."""
+    """Check a settings file, or a JSON or YAML file with tables, without starting a process."""
     from hornbeamramp.checks import check_file
 
     result = check_file(file)
     if isinstance(result, Err):
-        _fail(f"{file}: {result.err_value}", EXIT_REFUSED)
+        _exit_with_error(f"{file}: {result.err_value}", EXIT_REFUSED)
     print(f"{file}: {result.ok_value}")
 
 
 @app.command
 def demo(*, verbose: bool = False) -> None:
-    """Start entry processes and stand-ins on loopback and send jobs of every kind."""
+    """Start a demo cell on loopback, with stand-in upstreams, and submit jobs of every kind."""
     from hornbeamramp.demo import run_demo
 
     sys.exit(asyncio.run(run_demo(verbose)))
@@ -98,7 +102,7 @@
     *, admin: AdminUrl, token_file: TokenFile, ca_file: CaFile = None, as_json: Json = False
 ) -> None:
     """Show data centres, shards, revisions, queues and upstreams that are set aside."""
-    document = _ask(Connection(admin, token_file, ca_file).client().status())
+    document = _call_admin_api(AdminEndpoint(admin, token_file, ca_file).client().status())
     if as_json:
         _print_json(document)
     else:
@@ -107,18 +111,18 @@
 
 @app.command
 def explain(job_id: str, *files: Path) -> None:
-    """Print the life of one job from the log files of several VMs."""
+    """Print the history of one job from the log files of several VMs."""
     from hornbeamramp.explain import explain_job
 
     try:
         lines = explain_job(JobId(job_id), files)
     except OSError as error:
-        _fail(f"{error.filename}: {error.strerror}", EXIT_USAGE)
+        _exit_with_error(f"{error.filename}: {error.strerror}", EXIT_USAGE)
     if not lines:
-        _fail(f"no line names {job_id}", EXIT_REFUSED)
+        _exit_with_error(f"no log line contains {job_id}", EXIT_REFUSED)
     for line in lines:
-        after = (line.time - lines[0].time).total_seconds()
-        print(f"{after:9.3f} s  {line.vm}  {line.part}  {line.message}")
+        elapsed_s = (line.time - lines[0].time).total_seconds()
+        print(f"{elapsed_s:9.3f} s  {line.vm}  {line.part}  {line.message}")
 
 
 @app.command(show=False)
@@ -131,7 +135,7 @@
     if not check:
         file.write_text(text)
     elif not file.exists() or file.read_text() != text:
-        _fail(f"{file} is not up to date; run: hornbeamramp docs {page}", EXIT_REFUSED)
+        _exit_with_error(f"{file} is not up to date; run: hornbeamramp docs {page}", EXIT_REFUSED)
 
 
 def _add_table_commands(table_app: App, table: str) -> None:
@@ -140,7 +144,9 @@
         *, admin: AdminUrl, token_file: TokenFile, ca_file: CaFile = None, as_json: Json = False
     ) -> None:
         """List all rows."""
-        document = _ask(Connection(admin, token_file, ca_file).client().list_rows(table))
+        document = _call_admin_api(
+            AdminEndpoint(admin, token_file, ca_file).client().list_rows(table)
+        )
         if as_json:
             _print_json(document)
         else:
@@ -151,7 +157,9 @@
         name: str, *, admin: AdminUrl, token_file: TokenFile, ca_file: CaFile = None
     ) -> None:
         """Print one row as JSON."""
-        _print_json(_ask(Connection(admin, token_file, ca_file).client().get_row(table, name)))
+        _print_json(
+            _call_admin_api(AdminEndpoint(admin, token_file, ca_file).client().get_row(table, name))
+        )
 
     @table_app.command(name="set")
     def set_row(
@@ -163,18 +171,20 @@
         ca_file: CaFile = None,
         version: int | None = None,
     ) -> None:
-        """Write a row from a JSON or YAML file. Without --version the row is created."""
+        """Write a row from a JSON or YAML file. Without --version, create a new row."""
         row = msgspec.yaml.decode(file.read_bytes(), type=dict[str, Any])
-        client = Connection(admin, token_file, ca_file).client()
-        _print_json(_ask(client.put_row(table, name, row, version)))
+        client = AdminEndpoint(admin, token_file, ca_file).client()
+        _print_json(_call_admin_api(client.put_row(table, name, row, version)))
 
     @table_app.command(name="delete")
     def delete_row(
         name: str, *, version: int, admin: AdminUrl, token_file: TokenFile, ca_file: CaFile = None
     ) -> None:
-        """Delete a row of the given version."""
+        """Delete a row if it has the given version."""
         _print_json(
-            _ask(Connection(admin, token_file, ca_file).client().delete_row(table, name, version))
+            _call_admin_api(
+                AdminEndpoint(admin, token_file, ca_file).client().delete_row(table, name, version)
+            )
         )
 
 
@@ -187,13 +197,13 @@
     app()
 
 
-def _ask(call: Any) -> dict[str, Any]:
-    result: Result[dict[str, Any], AdminProblem] = asyncio.run(call)
+def _call_admin_api(api_call: Any) -> dict[str, Any]:
+    result: Result[dict[str, Any], AdminProblem] = asyncio.run(api_call)
     if isinstance(result, Err):
         problem = result.err_value
         if problem.body:
             print(json.dumps(problem.body, indent=2))
-        _fail(problem.detail, EXIT_REFUSED)
+        _exit_with_error(problem.detail, EXIT_REFUSED)
     return result.unwrap()
 
 
@@ -201,6 +211,6 @@
     print(json.dumps(document, indent=2))
 
 
-def _fail(message: str, status_code: int) -> NoReturn:
+def _exit_with_error(message: str, exit_code: int) -> NoReturn:
     print(f"hornbeamramp: {message}", file=sys.stderr)
-    sys.exit(status_code)
+    sys.exit(exit_code)
--- a/hornbeamramp/cluster_status.py
+++ b/hornbeamramp/cluster_status.py
@@ -1,4 +1,4 @@
-"""Status document for operators, put together from this process and its peers."""
+"""Status document for operators, assembled from this process and its peers."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -23,11 +23,11 @@
 __all__ = ["ClusterStatus"]
 
 PEER_TIMEOUT = timedelta(seconds=2)
-IN_FORCE_POLL = timedelta(milliseconds=50)
+APPLIED_POLL_INTERVAL = timedelta(milliseconds=50)
 
 
 class ClusterStatus:
-    """Answers ``GET /v1/status`` and tells where a revision is in force."""
+    """Builds the document of ``GET /v1/status`` and tells where a revision is applied."""
 
     def __init__(
         self,
@@ -63,7 +63,7 @@
         }
 
     def observe(self, metrics: Metrics) -> None:
-        """Publishes the state of this process as gauges."""
+        """Registers the metrics that are read from the state of this process."""
         metrics.observe("revision", lambda: [(self._configuration.tables.revision, {})])
         metrics.observe("members", self._read_members)
         metrics.observe("shards_owned", lambda: [(len(self._shards.owner_by_shard), {})])
@@ -88,13 +88,13 @@
         return [(n, {"kind": kind}) for kind, n in self._platform.calls_by_kind.items()]
 
     async def reply(self, request: StatusRequest) -> StatusReply:
-        """Answers a peer's status request."""
+        """Handles a peer's status request."""
         return StatusReply(msgspec.json.encode(self.local()))
 
     async def document(self) -> dict[str, Any]:
-        """Returns the state of the whole cell as far as peers answer."""
+        """Returns the state of the whole cell, without details of peers that do not answer."""
         local = self.local()
-        peers = await self._ask_peers()
+        peers = await self._request_peer_statuses()
         detail_by_shard = {
             detail["shard"]: detail
             for document in (local, *peers.values())
@@ -109,19 +109,19 @@
             "processes": [local, *peers.values()],
         }
 
-    async def in_force(self, revision: Revision, wait: timedelta) -> dict[str, bool]:
-        """Tells for each data centre whether all reachable members apply ``revision``.
+    async def wait_applied(self, revision: Revision, wait: timedelta) -> dict[str, bool]:
+        """Tells for each data centre whether all reachable members have applied ``revision``.
 
-        Waits up to ``wait`` for all of them.
+        Returns once all have, or after ``wait``.
         """
         deadline = self._clock.boot_time() + wait
         while True:
-            result = self._in_force_now(revision)
+            result = self._applied_by_data_centre(revision)
             if all(result.values()) or self._clock.boot_time() >= deadline:
                 return result
-            await self._clock.sleep(IN_FORCE_POLL)
+            await self._clock.sleep(APPLIED_POLL_INTERVAL)
 
-    def _in_force_now(self, revision: Revision) -> dict[str, bool]:
+    def _applied_by_data_centre(self, revision: Revision) -> dict[str, bool]:
         revisions = self._membership.revision_by_vm()
         result: dict[str, bool] = {}
         for vm, member in self._membership.by_id.items():
@@ -131,17 +131,17 @@
             result[member.data_centre] = result.get(member.data_centre, True) and applied
         return result
 
-    async def _ask_peers(self) -> dict[VmId, dict[str, Any]]:
+    async def _request_peer_statuses(self) -> dict[VmId, dict[str, Any]]:
         vms = [
             vm
             for vm in self._membership.by_id
             if vm != self._settings.vm
             and self._membership.state_of(vm) not in (MemberState.DEAD, None)
         ]
-        replies = await asyncio.gather(*(self._ask(vm) for vm in vms))
+        replies = await asyncio.gather(*(self._request_status(vm) for vm in vms))
         return {vm: reply for vm, reply in zip(vms, replies, strict=True) if reply is not None}
 
-    async def _ask(self, vm: VmId) -> dict[str, Any] | None:
+    async def _request_status(self, vm: VmId) -> dict[str, Any] | None:
         address = self._membership.by_id[vm].peer_address
         try:
             reply = await self._call(address, StatusRequest(), PEER_TIMEOUT, Step.ANSWER)
@@ -169,13 +169,13 @@
         for row in self._members():
             if row["state"] not in (MemberState.ALIVE.value, MemberState.LEAVING.value):
                 continue
-            state = result.setdefault(
+            summary = result.setdefault(
                 row["data_centre"], {"members": 0, "least_revision": row["revision"]}
             )
-            state["members"] += 1
-            state["least_revision"] = min(state["least_revision"], row["revision"])
-        for data_centre, state in result.items():
-            state["serving"] = self._is_serving(data_centre)
+            summary["members"] += 1
+            summary["least_revision"] = min(summary["least_revision"], row["revision"])
+        for data_centre, summary in result.items():
+            summary["serving"] = self._is_serving(data_centre)
         return result
 
     def _is_serving(self, data_centre: DataCentreId) -> bool:
--- a/hornbeamramp/entry.py
+++ b/hornbeamramp/entry.py
@@ -125,7 +125,7 @@
                 _read_token(admin.token_file),
                 parts.configuration,
                 parts.cluster_status.document,
-                parts.cluster_status.in_force,
+                parts.cluster_status.wait_applied,
             )
             self.admin_server = HttpServer(app, admin.address, self.settings.tls)
             await self.admin_server.start()
--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -241,7 +241,7 @@
                 await self.shards.on_store_available()
 
     async def _poll_vm_list(self) -> None:
-        """Polls the platform's VM list and marks upstreams on leaving VMs, which get no new work."""
+        """Polls the platform's VM list and marks upstreams on leaving VMs: they get no new work."""
         while True:
             with contextlib.suppress(StoreUnavailableError):
                 listed = await self.platform.list_vms()
--- a/hornbeamramp/status_view.py
+++ b/hornbeamramp/status_view.py
@@ -1,4 +1,4 @@
-"""Tables for people: the status document and the rows of routes and pools."""
+"""Terminal output of the status document and of the rows of routes and pools."""
 
 from collections.abc import Iterable
 from typing import Any
@@ -18,17 +18,17 @@
         console.print("no rows")
         return
     columns = [column for column in rows[0] if column not in ("upstreams", "quotas")]
-    counted = [column for column in ("upstreams", "quotas") if column in rows[0]]
+    count_columns = [column for column in ("upstreams", "quotas") if column in rows[0]]
     _print_table(
         console,
         None,
-        [*columns, *counted],
-        ([*(row[c] for c in columns), *(len(row[c]) for c in counted)] for row in rows),
+        [*columns, *count_columns],
+        ([*(row[c] for c in columns), *(len(row[c]) for c in count_columns)] for row in rows),
     )
 
 
 def print_status(document: dict[str, Any], console: Console) -> None:
-    """Prints what an operator asks first: serving, owners, revisions, queues, upstreams."""
+    """Prints a headline, then data centres, members, shards, and upstreams that are set aside."""
     console.print(_headline(document), soft_wrap=True, markup=False, highlight=False)
     _print_data_centres(document, console)
     _print_members(document, console)
@@ -37,7 +37,7 @@
 
 
 def _headline(document: dict[str, Any]) -> str:
-    """Returns one line: the revision asked for, and what is not as it should be."""
+    """Returns a one-line summary: the revision and all problems."""
     faults = [
         f"{name} is not serving"
         for name, state in sorted(document["data_centres"].items())
@@ -49,20 +49,20 @@
     ownerless = [shard["shard"] for shard in document["shards"] if not shard["owner"]]
     if ownerless:
         faults.append(f"without owner: {', '.join(ownerless)}")
-    silent = [s["shard"] for s in document["shards"] if s["owner"] and not s["detail"]]
-    if silent:
-        faults.append(f"owner does not answer: {', '.join(silent)}")
-    recovering = [s["shard"] for s in document["shards"] if s["detail"] and not _recovered(s)]
+    unresponsive = [s["shard"] for s in document["shards"] if s["owner"] and not s["detail"]]
+    if unresponsive:
+        faults.append(f"owner does not answer: {', '.join(unresponsive)}")
+    recovering = [s["shard"] for s in document["shards"] if s["detail"] and not _is_recovered(s)]
     if recovering:
         faults.append(f"recovering: {', '.join(recovering)}")
-    aside = len(_set_aside(document))
-    if aside:
-        faults.append(f"{aside} upstreams set aside")
+    set_aside_count = len(_set_aside(document))
+    if set_aside_count:
+        faults.append(f"{set_aside_count} upstreams set aside")
     state = "; ".join(faults) or "all data centres are serving"
     return f"revision {document['revision']} at {document['vm']}: {state}"
 
 
-def _recovered(shard: dict[str, Any]) -> bool:
+def _is_recovered(shard: dict[str, Any]) -> bool:
     return bool(shard["detail"].get("recovered"))
 
 
@@ -116,11 +116,11 @@
         return "no owner"
     if not shard["detail"]:
         return "no answer"
-    return "serving" if _recovered(shard) else "recovering"
+    return "serving" if _is_recovered(shard) else "recovering"
 
 
 def _band_names(count_by_band: dict[str, int]) -> dict[str, int]:
-    """Replaces the numbers of bands, as JSON keys, by their names."""
+    """Replaces band numbers, which are strings as JSON keys, by band names."""
     return {Band(int(band)).name.lower(): count for band, count in count_by_band.items()}
 
 
@@ -142,6 +142,6 @@
     for heading in headings:
         table.add_column(heading)
     for row in rows:
-        # Text objects: a bracket in a reason is not markup.
+        # Text objects, so that brackets in a cell are not parsed as markup.
         table.add_row(*(Text(str(cell)) for cell in row))
     console.print(table)
