--- a/tests/test_admin_api.py
+++ b/tests/test_admin_api.py
@@ -25,7 +25,7 @@
     "authorization", [None, "Bearer", "Bearer wrong", "Basic eDp5", "Bearer \xff"]
 )
 def test_request_without_the_token_is_refused(cell, path, authorization):
-    """Guards against a page that answers without the token, or an error from an odd header."""
+    """Guards against a path served without the token, or a malformed header as internal error."""
     headers = {} if authorization is None else {"Authorization": authorization}
     answer = request(cell.entry.admin, "GET", path, headers=headers)
     assert_problem(answer, 401)
@@ -33,13 +33,13 @@
 
 
 def test_token_is_not_accepted_as_a_prefix_or_with_a_suffix(cell):
-    """Guards against a comparison that stops at the shorter text."""
+    """Guards against a comparison that stops at the end of the shorter string."""
     for token in (cell.cell.token[:-1], cell.cell.token + "x", cell.cell.token.upper() + " "):
         assert_problem(cell.admin("GET", PATH, token=token), 401)
 
 
 def test_token_is_compared_in_constant_time(run, monkeypatch):
-    """Guards against a comparison whose duration tells how much of the token is right."""
+    """Guards against a comparison whose duration reveals how much of the token is right."""
     calls = []
 
     def compare(a, b):
@@ -58,7 +58,7 @@
 
 
 def test_no_listener_without_admin_settings(cell):
-    """Guards against an admin listener that nobody asked for."""
+    """Guards against an admin listener that is not configured."""
     entry = cell.run(cell.cell.add_entry("gebze-2", "gebze", {"admin": None}))
     assert entry.admin == 0
     cell.run(entry.program.stop())
@@ -72,12 +72,12 @@
 
 
 def test_malformed_precondition_is_refused(cell):
-    """Guards against taking a precondition that is not understood as none."""
+    """Guards against treating a malformed precondition like a missing one."""
     assert_problem(cell.admin("PUT", PATH, ROUTE, If_Match="W/x"), 400)
 
 
 def test_stale_write_gets_the_current_row(cell):
-    """Guards against lost updates: the loser needs the row that won."""
+    """Guards against lost updates: the refused writer needs the current row."""
     row = cell.admin("GET", PATH)
     first = cell.admin("PUT", PATH, {**ROUTE, "run_ms": 20}, If_Match=row.headers["etag"])
     assert first.status == 200
@@ -114,13 +114,13 @@
     ],
 )
 def test_malformed_row_is_refused(cell, body, detail):
-    """Guards against a row that is accepted with a field left out."""
+    """Guards against accepting a row of which a field was ignored."""
     etag = cell.admin("GET", PATH).headers["etag"]
     assert detail in assert_problem(cell.admin("PUT", PATH, body, If_Match=etag), 400)["detail"]
 
 
 def test_row_can_be_created_and_deleted(cell):
-    """Guards against an ETag of a new row that does not allow its deletion."""
+    """Guards against a created row whose ETag is refused when the row is deleted."""
     path = "/v1/routes/extra"
     assert_problem(cell.admin("GET", path), 404, outcome=None)
     created = cell.admin("PUT", path, {"pool": "tickets"}, If_None_Match="*")
@@ -131,7 +131,7 @@
 
 
 def test_preferred_wait_reports_where_the_change_is_in_force(cell):
-    """Guards against reporting a change in force before every member applies it."""
+    """Guards against reporting a change as in force before every member applies it."""
     etag = cell.admin("GET", PATH).headers["etag"]
     answer = cell.admin("PUT", PATH, ROUTE, If_Match=etag, Prefer="wait=30")
     assert answer.json["accepted"] is True
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""Tests of the configuration store: races, lost answers, older stores, deltas, forks, the ring."""
+"""Tests of the configuration store: races, lost replies, restored stores, deltas and forks."""
 
 import asyncio
 from datetime import timedelta
@@ -39,8 +39,8 @@
     return [ConfigurationStore(store, clock, VmId(f"vm{n}")) for n in range(3)]
 
 
-async def with_time(clock, coroutine, step=SECOND):
-    """Runs the coroutine while the clock moves."""
+async def run_with_clock(clock, coroutine, step=SECOND):
+    """Runs the coroutine while the clock advances."""
     task = asyncio.ensure_future(coroutine)
     for _ in range(20):
         await clock.advance(step)
@@ -49,7 +49,7 @@
     return await asyncio.wait_for(task, 5)
 
 
-def peer(config):
+def peer_call(config):
     async def call(request):
         return config.on_config_delta(request)
 
@@ -61,7 +61,7 @@
     return msgspec.msgpack.decode(entry.value, type=ConfigHead)
 
 
-async def fill(config, count, prefix="fill") -> None:
+async def make_changes(config, count, prefix="fill") -> None:
     """Makes ``count`` changes to one row."""
     _, version = config.tables.row("pools", "gates")
     for number in range(count):
@@ -87,7 +87,7 @@
 
 
 def test_changes_to_different_rows_both_get_through(store, members, run):
-    # Guards against a conflict that is only one of the head's version.
+    # Guards against refusing a change because a change to another row replaced the head.
     async def scenario():
         results = await asyncio.gather(
             *(
@@ -101,8 +101,8 @@
     run(scenario())
 
 
-def test_concurrent_changes_can_not_break_the_join(store, members, run):
-    # Guards the join: a pool deleted while a route to it is created.
+def test_concurrent_changes_can_not_leave_a_dangling_reference(store, members, run):
+    # Guards against a route to a missing pool: the pool is deleted while the route is created.
     async def scenario():
         first, second, _ = members
         await first.propose("pools", "gates", pool(), None, "c0")
@@ -130,17 +130,19 @@
     ],
 )
 def test_malformed_proposals_are_refused(store, members, run, arguments):
-    # Guards the store against rows that no member could read.
+    # Guards against malformed rows in the store, which no member could read.
     result = run(members[0].propose(*arguments))
     assert isinstance(result.err_value, MalformedProposal)
     assert store.entries() == []
 
 
 def test_lost_answer_is_resolved_by_the_change_id(store, clock, members, run):
-    # Guards against a change made twice, or reported as failed although it is in force.
+    # Guards against a change made twice, or reported as failed although it is applied.
     async def scenario():
         store.answers_to_lose = 1
-        result = await with_time(clock, members[0].propose("pools", "gates", pool(), None, "c0"))
+        result = await run_with_clock(
+            clock, members[0].propose("pools", "gates", pool(), None, "c0")
+        )
         assert result.ok().revision == 1
         assert store.calls_by_name["put"] == 1
         assert (await members[1].propose("pools", "gates", pool(), None, "c0")) == result
@@ -151,7 +153,7 @@
 
 
 def test_outage_is_reported_as_not_run_or_unknown(store, clock, members, run):
-    # Guards the operator's decision whether to repeat a change.
+    # Guards against a wrong outcome, by which operators decide whether to repeat a change.
     async def scenario():
         store.mode = StoreMode.DOWN
         result = await members[0].propose("pools", "gates", pool(), None, "c0")
@@ -166,7 +168,7 @@
             await asyncio.sleep(0)
         assert store.answers_to_lose == 0
         store.mode = StoreMode.DOWN
-        result = await with_time(clock, proposal)
+        result = await run_with_clock(clock, proposal)
         assert isinstance(result.err_value, StoreOutage) and result.err_value.outcome == "unknown"
         store.mode = StoreMode.UP
         again = await members[1].propose("pools", "gates", pool(policy="a"), Revision(1), "c2")
@@ -195,7 +197,7 @@
 
 
 @pytest.mark.parametrize("kept", [0, 1], ids=["missing", "older"])
-def test_store_that_returns_older_gets_the_head_back(store, clock, members, run, kept):
+def test_store_restored_from_an_older_state_gets_the_head_back(store, clock, members, run, kept):
     # Guards G8: an accepted change must not revert when the store is restored.
     async def scenario():
         tasks = [asyncio.create_task(config.run()) for config in members]
@@ -219,7 +221,8 @@
 
 
 def test_proposal_on_an_older_store_comes_after_the_accepted_changes(store, members, run):
-    # Guards G8 between the store's return and the next watch: the proposer writes back first.
+    # Guards G8 after a restore that the watch has not noticed yet: the proposer first writes the
+    # accepted changes back.
     async def scenario():
         await members[0].propose("pools", "gates", pool(), None, "c0")
         store.restore([])
@@ -230,12 +233,12 @@
 
 
 def test_missing_snapshot_is_replaced_by_a_member_with_a_later_revision(store, clock, members, run):
-    # Guards against members that can never again read the tables from a store restored in part.
+    # Guards against members that can never again read the tables from a partly restored store.
     async def scenario():
         first, second, _ = members
-        await fill(first, 600)
+        await make_changes(first, 600)
         saved = [entry for entry in store.entries() if entry.key == "config/head"]
-        await fill(first, 1, "last")
+        await make_changes(first, 1, "last")
         store.restore(saved)
         second_run = asyncio.create_task(second.run())
         await clock.advance(SECOND)
@@ -250,7 +253,7 @@
 
 
 def test_malformed_head_is_not_overwritten(store, members, run):
-    # Guards against a member that destroys what a later version of the program wrote.
+    # Guards against overwriting a head that a later version of the program wrote.
     async def scenario():
         await members[0].propose("pools", "gates", pool(), None, "c0")
         entry = await store.get("config/head")
@@ -263,7 +266,7 @@
 
 
 async def forked_members(store, members, salt=0):
-    """Two members with different changes at revision 2, made on both sides of a restore.
+    """Returns two members with different changes at revision 2, made before and after a restore.
 
     ``salt`` varies the digests. The store has the change of the second member.
     """
@@ -280,7 +283,7 @@
 
 
 def test_fork_at_the_same_revision_is_merged(store, clock, members, run):
-    # Guards G8: two members with different tables at one revision, each taking itself as current.
+    # Guards G8: two members have different tables at one revision, each as the current ones.
     async def scenario():
         first, second = await forked_members(store, members)
         tasks = [asyncio.create_task(config.run()) for config in members]
@@ -297,7 +300,7 @@
 
 @pytest.mark.parametrize("winner_index", [0, 1])
 def test_fork_without_the_store_is_resolved_alike_and_merged_later(clock, run, winner_index):
-    # Guards against members that swap their tables for ever, and against a change that is gone.
+    # Guards against members that exchange their tables endlessly, and against a lost change.
     async def scenario():
         for salt in range(20):
             store = MemoryPlatform(clock)
@@ -309,9 +312,9 @@
         assert winner.tables.digest > loser.tables.digest
         tables = winner.tables
         store.mode = StoreMode.DOWN
-        assert not await winner.pull_from(peer(loser))
-        assert await loser.pull_from(peer(winner))
-        assert not await loser.pull_from(peer(winner))
+        assert not await winner.pull_from(peer_call(loser))
+        assert await loser.pull_from(peer_call(winner))
+        assert not await loser.pull_from(peer_call(winner))
         assert winner.tables == loser.tables == tables
         assert loser.fork_count == 1
         store.mode = StoreMode.UP
@@ -339,7 +342,7 @@
 
 
 def test_merge_keeps_the_winners_row_if_both_sides_wrote_it():
-    # Guards against a merge that reverts a row of the chain that other members already follow.
+    # Guards against a merge that reverts a row of the chain that other members already apply.
     base = ConfigState().append(Change("c0", Revision(0), "pools", "gates", pool=pool()))
     lower = base.append(Change("c1", Revision(0), "pools", "gates", pool=pool(policy="lower")))
     higher = base.append(Change("c2", Revision(0), "pools", "gates", pool=pool(policy="higher")))
@@ -350,10 +353,10 @@
 
 
 def test_deltas_are_never_applied_backwards_or_with_a_gap(store, members, run):
-    # Guards G8 against delayed, reordered or altered answers of peers.
+    # Guards G8 against delayed, reordered or altered replies of peers.
     async def scenario():
         first, second, third = members
-        await fill(first, 4)
+        await make_changes(first, 4)
         changes = list(first._state.recent)
 
         def answer(*numbers, revision=4):
@@ -391,16 +394,17 @@
 
 
 def test_member_without_the_store_loads_the_tables_from_a_peer(store, members, run):
-    # Guards a new process in a partitioned data centre; and the bound of what peers send.
+    # Guards against a new process without tables in a partitioned data centre, and against
+    # replies of peers without a bound.
     async def scenario():
         first, second, third = members
-        await fill(first, 600)
+        await make_changes(first, 600)
         store.mode = StoreMode.DOWN
         assert first._state.base_revision > 0
-        assert await second.pull_from(peer(first))
+        assert await second.pull_from(peer_call(first))
         assert second.is_ready() and second.tables == first.tables
         store.mode = StoreMode.UP
-        await fill(first, 3, "more")
+        await make_changes(first, 3, "more")
         store.mode = StoreMode.DOWN
         replies = []
 
@@ -418,22 +422,23 @@
         assert not await third.pull_from(unreachable)
         assert not third.is_ready()
         waiting = asyncio.create_task(third.wait_ready())
-        assert await third.pull_from(peer(second))
+        assert await third.pull_from(peer_call(second))
         await asyncio.wait_for(waiting, 1)
 
     run(scenario())
 
 
-def test_ring_is_bounded_and_the_snapshot_covers_the_rest(store, members, run):
-    # Guards the cost of 2,600 changes a day, and a new member's load from snapshot and ring.
+def test_recent_changes_are_bounded_and_the_snapshot_covers_the_rest(store, members, run):
+    # Guards against a head that makes 2,600 changes a day too costly, and against a new member
+    # that can't load the tables from the snapshot and the recent changes.
     async def scenario():
         first, second, _ = members
         largest = 0
         for number in range(60):
-            await fill(first, 20, f"n{number}-")
+            await make_changes(first, 20, f"n{number}-")
             entry = await store.get("config/head")
             largest = max(largest, len(entry.value))
-        # A snapshot is written once in many changes, not with each of them.
+        # A snapshot is written once in many changes, not with each change.
         assert store.calls_by_name["put"] < 1_200 * 1.05
         assert RECENT_MAX_BYTES // 2 < largest < RECENT_MAX_BYTES + 1_000
         assert sum("snapshot" in entry.key for entry in store.entries()) <= 2
@@ -443,8 +448,8 @@
     run(scenario())
 
 
-def test_row_larger_than_the_ring_is_accepted(store, clock, members, run):
-    # Guards pools of many upstreams, whose row alone passes the ring's bound.
+def test_row_larger_than_the_bound_on_recent_changes_is_accepted(store, clock, members, run):
+    # Guards against refusing pools of many upstreams, whose row alone exceeds the bound.
     async def scenario():
         upstreams = [
             PoolUpstream(f"worker-{n:04}", DataCentreId("gebze"), f"10.0.{n // 250}.{n % 250}:9000")
@@ -452,9 +457,9 @@
         ]
         row = Pool(PoolName("gates"), upstreams, {"yard": Quota(weight=2)})
         store.answers_to_lose = 2
-        result = await with_time(clock, members[0].propose("pools", "gates", row, None, "c0"))
+        result = await run_with_clock(clock, members[0].propose("pools", "gates", row, None, "c0"))
         assert isinstance(result, Ok)
-        assert await members[1].pull_from(peer(members[0]))
+        assert await members[1].pull_from(peer_call(members[0]))
         await members[2].propose("pools", "x", pool("x"), Revision(99), "none")
         assert members[0].tables == members[1].tables == members[2].tables
 
--- a/tests/test_configuration_cost.py
+++ b/tests/test_configuration_cost.py
@@ -1,4 +1,4 @@
-"""Cost of 2,600 changes a day to a member: bytes and store calls. Figures are shown with -s."""
+"""Cost of 2,600 changes a day for a member, in bytes and store calls; -s shows the figures."""
 
 import asyncio
 from datetime import timedelta
@@ -15,7 +15,7 @@
 
 
 class CountingPlatform(MemoryPlatform):
-    """Passes a member's reads on to the store and adds up the bytes of the values."""
+    """Forwards a member's reads to the store; counts the calls and the bytes of the values."""
 
     def __init__(self, store, clock) -> None:
         super().__init__(clock)
@@ -35,7 +35,7 @@
 
 
 async def add_tables(config) -> None:
-    """40 pools with 20 upstreams each, 800 in all, and 200 routes."""
+    """Adds 40 pools with 20 upstreams each, 800 in all, and 200 routes."""
     for number in range(40):
         name = PoolName(f"pool-{number:03}")
         upstreams = [
@@ -52,8 +52,9 @@
         assert (await config.propose("routes", route.name, route, None, change_id)).is_ok()
 
 
-def test_a_days_changes_cost_a_member_deltas(store, clock, run):
-    # Guards the 9 KB/s of control traffic per member: whole tables at each change would pass it.
+def test_a_days_changes_are_sent_as_deltas(store, clock, run):
+    # Guards the limit of 9 KB/s of control traffic per member, which sending whole tables at each
+    # change would exceed.
     async def scenario():
         writer = ConfigurationStore(store, clock, VmId("writer"))
         await add_tables(writer)
--- a/tests/test_configuration_properties.py
+++ b/tests/test_configuration_properties.py
@@ -41,7 +41,7 @@
 
 
 class CutPlatform(MemoryPlatform):
-    """A member's way to the shared store, which a test can cut."""
+    """A member's connection to the shared store, which a test can cut."""
 
     def __init__(self, store: MemoryPlatform, clock: ManualClock) -> None:
         super().__init__(clock)
@@ -71,8 +71,8 @@
         return result
 
 
-class World:
-    """Members around one store, and what each proposer was told."""
+class ConfigCell:
+    """Members with one store, and the result of each proposal."""
 
     def __init__(self) -> None:
         self.clock = ManualClock()
@@ -85,18 +85,18 @@
         self.saved = []
         self.proposals = []
         self.seen_ids = set()
-        self.reversals = []
+        self.rollbacks = []
         for config in self.members:
-            config.subscribe(self._watcher(config))
+            config.subscribe(self._rollback_detector(config))
 
-    def _watcher(self, config):
+    def _rollback_detector(self, config):
         last = [(0, "")]
 
         def check(tables):
             order = (tables.revision, tables.digest)
             if order <= last[0]:
-                # Exceptions of subscribers are only logged, so `check` looks at this list.
-                self.reversals.append((last[0], order))
+                # The store only logs exceptions of subscribers, so `check` reads this list.
+                self.rollbacks.append((last[0], order))
             last[0] = order
             self.seen_ids |= {change.id for change in config._state.recent}
 
@@ -108,8 +108,8 @@
         self.propose(self.members[0], "pools", "p0", False)
         await self.clock.advance(timedelta(seconds=2))
         for step in script:
-            await self.take(*step)
-        self.heal()
+            await self.apply_step(*step)
+        self.end_faults()
         await self.clock.advance(timedelta(seconds=10))
         for task in tasks:
             assert not task.done()
@@ -117,21 +117,21 @@
         await asyncio.gather(*tasks, return_exceptions=True)
         self.check()
 
-    async def take(self, kind, *arguments) -> None:
+    async def apply_step(self, kind, *arguments) -> None:
         match kind, arguments:
             case "propose", (index, key, delete, settle):
                 self.propose(self.members[index], *key, delete)
-                # Without the wait the proposal overlaps with the next steps.
+                # Without the wait, the proposal runs concurrently with the next steps.
                 await (self.clock.advance(timedelta(0)) if settle else asyncio.sleep(0))
             case "lose_and_fail", (index, key, seconds):
-                self.heal()
+                self.end_faults()
                 self.store.answers_to_lose = 1
                 self.propose(self.members[index], *key, False)
                 await self.clock.advance(timedelta(0))
                 self.store.mode = StoreMode.DOWN
                 await self.clock.advance(timedelta(seconds=seconds))
             case "up", ():
-                self.heal()
+                self.end_faults()
                 await self.clock.advance(timedelta(seconds=2))
             case "fork", (one, key, other, other_key, delete):
                 await self.fork(one, key, other, other_key, delete)
@@ -154,14 +154,14 @@
 
                 await self.members[index].pull_from(call)
 
-    def heal(self) -> None:
+    def end_faults(self) -> None:
         self.store.mode, self.store.answers_to_lose = StoreMode.UP, 0
         for platform in self.platforms:
             platform.cut = False
 
     async def fork(self, one, key, other, other_key, delete) -> None:
-        """Has two members change the tables on both sides of a restore."""
-        self.heal()
+        """Lets one member change the tables before a restore of the store, another one after."""
+        self.end_faults()
         await self.clock.advance(timedelta(seconds=2))
         saved = self.store.entries()
         for index, platform in enumerate(self.platforms):
@@ -189,7 +189,7 @@
         self.proposals.append((change_id, table, name, before, row, task))
 
     def check(self) -> None:
-        assert not self.reversals, "a member went back to an older revision"
+        assert not self.rollbacks, "a member went back to an older revision"
         tables = self.members[0].tables
         assert all(config.tables == tables for config in self.members)
         forked = any(config.fork_count for config in self.members)
@@ -223,5 +223,5 @@
 @settings(max_examples=80, deadline=None, derandomize=True)
 @given(steps)
 def test_accepted_changes_are_never_lost_or_reverted(script):
-    # Guards G8: a write-back, a fork or a lost answer that drops or reverts an accepted change.
-    asyncio.run(World().run(script))
+    # Guards G8: a write-back, a fork or a lost reply that drops or reverts an accepted change.
+    asyncio.run(ConfigCell().run(script))
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,4 +1,4 @@
-"""Tests that the pages name what the code has."""
+"""Tests that the documentation lists the statuses, metrics and log parts of the code."""
 
 import re
 from pathlib import Path
@@ -24,7 +24,7 @@
 
 
 def test_each_metric_is_described():
-    """Guards against a metric without an alarm, and an alarm on a metric that is gone."""
+    """Guards against a metric without an alarm, and an alarm on a metric that no longer exists."""
     tables = (COUNTERS, GAUGES, HISTOGRAMS, OBSERVABLE_COUNTERS)
     names = {name for table in tables for name, _, _ in table.values()}
     described = {r[0].strip("`") for r in rows("operations.md") if "hornbeamramp." in r[0]}
@@ -32,7 +32,7 @@
 
 
 def test_each_log_part_is_described():
-    """Guards against a prefix that operators can't look up."""
+    """Guards against a log part that operators can't look up."""
     sources = (ROOT / "hornbeamramp").rglob("*.py")
     parts = {p for s in sources for p in re.findall(r'Logger\("(\w+)"\)', s.read_text())}
     described = {r[0].strip("`") for r in rows("operations.md") if len(r) == 2 and r[0][:1] == "`"}
--- a/tests/test_status_view.py
+++ b/tests/test_status_view.py
@@ -1,4 +1,4 @@
-"""Tests of the tables for operators, from fixed documents."""
+"""Tests of the terminal tables for operators, from fixed documents."""
 
 import io
 
@@ -49,7 +49,7 @@
 
 
 def test_healthy_cell():
-    """Guards against tables that mislabel a column, and alarms without a reason."""
+    """Guards against tables with mislabelled columns, and against false alarms."""
     text = render(document())
     headline = "revision 42 at gebze-1: all data centres are serving"
     assert text.splitlines()[0] == headline
@@ -68,7 +68,7 @@
 
 
 def test_headline_names_each_fault():
-    """Guards against a fault that can only be found by reading every row."""
+    """Guards against a fault that is missing from the headline and only found in the rows."""
     shards = [
         {"shard": "ticket@gebze", "owner": None, "epoch": None, "detail": None},
         {"shard": "ticket@izmit", "owner": "izmit-1", "epoch": None, "detail": None},
