--- a/hornbeamramp/cluster_status.py
+++ b/hornbeamramp/cluster_status.py
@@ -51,7 +51,7 @@
         self._call = call
         self._is_ready = is_ready
 
-    def local(self) -> dict[str, Any]:
+    def local_status(self) -> dict[str, Any]:
         """Returns the state of this process."""
         return {
             "vm": self._settings.vm,
@@ -62,7 +62,7 @@
             "store_calls": dict(self._platform.calls_by_kind),
         }
 
-    def observe(self, metrics: Metrics) -> None:
+    def register_metrics(self, metrics: Metrics) -> None:
         """Registers the metrics that are read from the state of this process."""
         metrics.observe("revision", lambda: [(self._configuration.tables.revision, {})])
         metrics.observe("members", self._read_members)
@@ -87,13 +87,13 @@
     def _read_store_calls(self) -> list[Reading]:
         return [(n, {"kind": kind}) for kind, n in self._platform.calls_by_kind.items()]
 
-    async def reply(self, request: StatusRequest) -> StatusReply:
+    async def on_status(self, request: StatusRequest) -> StatusReply:
         """Handles a peer's status request."""
-        return StatusReply(msgspec.json.encode(self.local()))
+        return StatusReply(msgspec.json.encode(self.local_status()))
 
     async def document(self) -> dict[str, Any]:
         """Returns the state of the whole cell, without details of peers that do not answer."""
-        local = self.local()
+        local = self.local_status()
         peers = await self._request_peer_statuses()
         detail_by_shard = {
             detail["shard"]: detail
--- a/hornbeamramp/config_proposal.py
+++ b/hornbeamramp/config_proposal.py
@@ -20,7 +20,7 @@
 ]
 
 # Values in the store are at most 1 MB.
-TABLES_BYTES = 900_000
+TABLES_MAX_BYTES = 900_000
 
 _encode = msgspec.msgpack.Encoder().encode
 _change_decoder = msgspec.msgpack.Decoder(Change)
@@ -109,6 +109,6 @@
     references = check_references(after.route_by_name, after.pool_by_name)
     if isinstance(references, Err):
         return DanglingReference(references.err_value.message, references.err_value.names)
-    if len(_encode(after)) > TABLES_BYTES:
-        return MalformedProposal(f"the tables would be larger than {TABLES_BYTES} bytes")
+    if len(_encode(after)) > TABLES_MAX_BYTES:
+        return MalformedProposal(f"the tables would be larger than {TABLES_MAX_BYTES} bytes")
     return None
--- a/hornbeamramp/config_records.py
+++ b/hornbeamramp/config_records.py
@@ -76,9 +76,10 @@
         return ConfigState(state.tables, tuple(head.recent), head.base_digest)
 
     async def build_head(self, state: ConfigState, old: ConfigHead) -> ConfigHead:
-        """Returns the head for ``state``; writes a snapshot first if the changes are too large.
+        """Returns the head for ``state``, after writing a new snapshot if one is needed.
 
-        Raises `StoreUnavailableError`.
+        That is, if the kept changes exceed `RECENT_MAX_BYTES` or do not reach back to the last
+        snapshot. Raises `StoreUnavailableError`.
         """
         kept_state = state.drop_through(Revision(old.revision - len(old.recent)))
         snapshot, old_snapshot = old.snapshot, old.old_snapshot
--- a/hornbeamramp/entry.py
+++ b/hornbeamramp/entry.py
@@ -50,7 +50,7 @@
         Raises ``OSError`` if an address can't be bound.
         """
         for request_type in REQUEST_TYPES:
-            self.peer_server.handle(request_type, self._handle)
+            self.peer_server.handle(request_type, self._handle_peer_request)
         await self.peer_server.start()
         # Peers are given the port that was bound, since the settings may have port 0.
         host = self.settings.peer_address.rpartition(":")[0]
@@ -94,7 +94,7 @@
         await self.peer_client.close()
         _log.info("shutdown complete")
 
-    async def _handle(self, request: Any) -> Any:
+    async def _handle_peer_request(self, request: Any) -> Any:
         # Requests can arrive before the parts are created, since the port is bound first.
         await self._parts_created.wait()
         return await self.parts.handle(request)
--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -110,7 +110,7 @@
             peers.call,
             lambda: self.ready,
         )
-        self.cluster_status.observe(self.metrics)
+        self.cluster_status.register_metrics(self.metrics)
         self.configuration.subscribe(self._on_tables_changed)
         self.membership.add_heartbeat_listener(self._on_heartbeat)
         self._peers = peers
@@ -175,7 +175,7 @@
             messages.PromiseRequest: self.ownership.on_promise,
             messages.HandOverRequest: self.ownership.on_hand_over,
             messages.ConfigDeltaRequest: self.configuration.on_config_delta,
-            messages.StatusRequest: self.cluster_status.reply,
+            messages.StatusRequest: self.cluster_status.on_status,
         }
 
     def _heartbeat_content(self) -> tuple[Revision, dict[ShardId, messages.ShardBeat]]:
