--- a/hornbeamramp/entry.py
+++ b/hornbeamramp/entry.py
@@ -82,7 +82,7 @@
         _log.info("shutting down")
         self.parts.set_leaving()
         await self.clock.sleep(timedelta(milliseconds=self.settings.timing.drain_ms))
-        self.parts.refusing = True
+        self.parts.refuses_jobs = True
         self.caller_server.stop_listening()
         await self.parts.ownership.hand_over_all()
         await self._wait_for_requests()
@@ -113,7 +113,7 @@
             parts.forwarder,
             lambda: parts.configuration.tables,
             lambda: parts.ready,
-            lambda: parts.refusing,
+            lambda: parts.refuses_jobs,
         )
         self.caller_server = HttpServer(app, self.settings.caller_address, self.settings.tls)
         await self.caller_server.start()
--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -74,7 +74,7 @@
         self.clock = clock
         self.metrics = Metrics()
         self.ready = False
-        self.refusing = False
+        self.refuses_jobs = False
         self.platform = BudgetedPlatform(platform, clock, settings.platform.calls_per_second)
         self.configuration = ConfigurationStore(self.platform, clock, settings.vm)
         self.membership = Membership(settings, self.platform, peers, clock, self._heartbeat_content)
--- a/tests/support/vm.py
+++ b/tests/support/vm.py
@@ -161,7 +161,7 @@
         parts = self.parts
         parts.set_leaving()
         await self.clock.sleep(timedelta(milliseconds=self.settings.timing.drain_ms))
-        parts.refusing = True
+        parts.refuses_jobs = True
         for call in self.calls:
             call.in_flight_at_stop = not call.answered
         await parts.ownership.hand_over_all()
@@ -191,7 +191,7 @@
     async def _submit(self, call: Call) -> None:
         self.cell.took_step(Step.ACCEPT, self)
         await self.pause.passed()
-        if self.parts.refusing:
+        if self.parts.refuses_jobs:
             self._tell(call, NotRun(JobId(""), RefusalReason.SHUTTING_DOWN, "shutting down"))
             return
         tables = self.parts.configuration.tables
