--- a/hornbeamramp/entry.py
+++ b/hornbeamramp/entry.py
@@ -90,7 +90,7 @@
         await self.caller_server.stop()
         if self.admin_server is not None:
             await self.admin_server.stop()
-        await self.parts.end()
+        await self.parts.close()
         await self.peer_client.close()
         _log.info("shutdown complete")
 
--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -136,7 +136,7 @@
         self.ready = False
         self.membership.set_leaving()
 
-    async def end(self) -> None:
+    async def close(self) -> None:
         """Stops all tasks and revokes the process lease. Hand over the shards before."""
         await self._tasks.cancel()
         for shard in list(self.shards.owner_by_shard):
--- a/tests/support/vm.py
+++ b/tests/support/vm.py
@@ -170,7 +170,7 @@
             await self.clock.sleep(DRAIN_POLL)
         self.listens_to_peers = False
         await self.clock.sleep(RPC_GRACE if self.cell.network.has_calls_to(self) else DRAIN_POLL)
-        await parts.end()
+        await parts.close()
         self.is_running = False
         self.cell.network.reset(self)
 
