--- a/hornbeamramp/admin_api.py
+++ b/hornbeamramp/admin_api.py
@@ -203,7 +203,7 @@
 
 
 def _preferred_wait(request: Request) -> timedelta:
-    """Returns how long to wait until all members have applied the change; 60 s at most."""
+    """Returns how long the caller waits for all members to apply the change, at most 60 s."""
     match = re.search(r"\bwait=(\d{1,3})\b", request.headers.get("prefer", ""))
     return timedelta(seconds=min(int(match.group(1)), 60) if match else 0)
 
--- a/hornbeamramp/status_view.py
+++ b/hornbeamramp/status_view.py
@@ -28,7 +28,7 @@
 
 
 def print_status(document: dict[str, Any], console: Console) -> None:
-    """Prints a headline, then data centres, members, shards, and upstreams that are set aside."""
+    """Prints what operators need first: faults, serving, revisions, owners, queues, upstreams."""
     console.print(_headline(document), soft_wrap=True, markup=False, highlight=False)
     _print_data_centres(document, console)
     _print_members(document, console)
