--- a/hornbeamramp/standins/worker_model.py
+++ b/hornbeamramp/standins/worker_model.py
@@ -121,7 +121,7 @@
 
         An attempt that is running or still listed is answered `STARTED` without a second start.
         """
-        now = self._settle()
+        now = self._end_due_tasks()
         attempt = request.attempt_id
         if attempt in self._running_by_id or attempt in self._ended_by_id:
             return StartReply.STARTED
@@ -143,14 +143,14 @@
 
     def list_tasks(self) -> list[ListedTask]:
         """Returns running tasks and those that ended within the last 60 s."""
-        now = self._settle()
+        now = self._end_due_tasks()
         labelled = Capability.LABELS in self._shape.capabilities
         tasks = [*self._running_by_id.values(), *self._ended_by_id.values()]
         return [task.listed(now, labelled) for task in tasks]
 
     def task(self, attempt_id: AttemptId) -> WorkerTask | None:
         """Returns a running or recently ended task."""
-        self._settle()
+        self._end_due_tasks()
         return self._running_by_id.get(attempt_id) or self._ended_by_id.get(attempt_id)
 
     def result(self, attempt_id: AttemptId) -> TaskResult | TaskState | None:
@@ -165,7 +165,7 @@
 
     def other_result(self, attempt_id: AttemptId) -> TaskResult | None:
         """Returns the answer of the most recently succeeded other attempt."""
-        self._settle()
+        self._end_due_tasks()
         for other, task in reversed(self._ended_by_id.items()):
             if other != attempt_id and task.state is TaskState.SUCCEEDED:
                 found = self.result(other)
@@ -195,7 +195,7 @@
         With the capability ``fence`` a renewal with a lower epoch than the shard's fence has no
         effect. The task's epoch label becomes the highest epoch that renewed it.
         """
-        now = self._settle()
+        now = self._end_due_tasks()
         renewed = []
         for attempt in attempt_ids:
             task = self._running_by_id.get(attempt)
@@ -210,7 +210,7 @@
 
         With the capability ``fence`` an unknown id is recorded, and a later start refused.
         """
-        now = self._settle()
+        now = self._end_due_tasks()
         task = self._running_by_id.get(attempt_id)
         if task is not None:
             self._end(task, now, TaskState.STOPPED, "stopped")
@@ -226,7 +226,7 @@
 
     def checkpoint(self, attempt_id: AttemptId) -> bool:
         """Checkpoints and stops the task; false if it was not running."""
-        now = self._settle()
+        now = self._end_due_tasks()
         task = self._running_by_id.get(attempt_id)
         if task is None:
             return False
@@ -238,7 +238,7 @@
 
         Returns false if it was not running or ``resources`` do not fit beside the other tasks.
         """
-        now = self._settle()
+        now = self._end_due_tasks()
         task = self._running_by_id.get(attempt_id)
         if task is None:
             return False
@@ -260,13 +260,13 @@
 
     def usage(self) -> list[UsageReport]:
         """Returns the use of the tasks that ran at a time ``usage_lag`` ago, as it was then."""
-        at = self._settle() - self._usage_lag
+        at = self._end_due_tasks() - self._usage_lag
         tasks = [*self._running_by_id.values(), *self._ended_by_id.values()]
         return [task.usage(at) for task in tasks if task.was_running(at)]
 
     def log(self) -> WorkerLog:
         """Returns all starts and ends so far, in order."""
-        self._settle()
+        self._end_due_tasks()
         return WorkerLog(
             upstream_id=self._shape.id,
             capacity=self._shape.resources,
@@ -293,7 +293,7 @@
     def _fence(self, shard: ShardId) -> Epoch:
         return self._fence_by_shard.get(shard, Epoch(0))
 
-    def _settle(self) -> timedelta:
+    def _end_due_tasks(self) -> timedelta:
         now = self._clock.boot_time()
         due = [task for task in self._running_by_id.values() if task.ends_at() <= now]
         for task in sorted(due, key=WorkerTask.ends_at):
--- a/tests/support/workers.py
+++ b/tests/support/workers.py
@@ -85,7 +85,7 @@
 
     def die(self) -> None:
         """Ends all tasks and forgets them, the fences and the refused ids."""
-        now = self._settle()
+        now = self._end_due_tasks()
         for task in list(self._running_by_id.values()):
             self._end(task, now, TaskState.STOPPED, "died")
         self._ended_by_id.clear()
