--- a/hornbeamramp/standins/worker_model.py
+++ b/hornbeamramp/standins/worker_model.py
@@ -1,7 +1,7 @@
 """Simulated worker without sockets: runs tasks as timers under leases within its capacity.
 
-Time passes lazily: each method first ends the tasks whose time has come, with the exact time of
-their end, so the log is right whenever it is read.
+State is updated lazily: each method first ends the tasks that are due and records their exact end
+times, so the log is correct whenever it is read.
 """
 
 import asyncio
@@ -27,19 +27,19 @@
 
 __all__ = ["LogEntry", "WorkerLog", "WorkerModel", "expected_answer"]
 
-ENDED_KEPT = timedelta(seconds=60)
-# A task of a worker that fails everything ends fast, as a broken machine's do.
-FAILURE_RUN = timedelta(milliseconds=5)
-REFUSED_IDS_LIMIT = 100_000
+ENDED_TASK_RETENTION = timedelta(seconds=60)
+# Tasks on a broken machine usually fail fast.
+FAILED_TASK_RUN_TIME = timedelta(milliseconds=5)
+MAX_REFUSED_IDS = 100_000
 
 
 def expected_answer(payload: bytes) -> bytes:
-    """Returns the answer of a task with this payload; different payloads have different ones."""
+    """Returns the result payload of a task with this payload; it is unique to the payload."""
     return b"answer:" + hashlib.sha256(payload).hexdigest().encode()
 
 
 class LogEntry(msgspec.Struct, frozen=True, kw_only=True):
-    """A start or an end.
+    """A start, an end or a throttling of a task.
 
     `at_ms`
         Boot time in milliseconds; comparable between processes on one machine.
@@ -64,10 +64,12 @@
 
 
 class WorkerLog(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of the answer to ``GET /v1/log``.
+    """Body of the response to ``GET /v1/log``.
 
+    `overbooking_attempts`
+        Starts and throttle requests refused because they exceed the capacity.
     `refusals`
-        Number of refused starts by reply; ``refused_full`` ones are attempts at overbooking.
+        Number of refusals by reply; those of throttle requests count as ``refused_full``.
     """
 
     upstream_id: str
@@ -78,7 +80,7 @@
 
 
 class WorkerModel:
-    """Simulated worker.
+    """Simulated worker that enforces its capacity, its fences and the leases of its tasks.
 
     `shape`
         Id, rack, capacity, speed and capabilities.
@@ -87,9 +89,9 @@
     `usage_lag`
         Age of the usage reports (default: 2 s).
     `fail_all`
-        Whether tasks started from now on fail after a few milliseconds (default: false).
+        Whether tasks started from now on fail after 5 ms (default: false).
     `leaving`
-        Whether the worker refuses starts because it is leaving (default: that of ``shape``).
+        Whether the worker refuses starts because it is leaving (default: as in ``shape``).
     """
 
     def __init__(
@@ -113,13 +115,14 @@
         self.leaving = shape.leaving
 
     def shape(self) -> UpstreamShape:
-        """Returns the shape, with the current state of leaving."""
+        """Returns the shape, with the current value of `leaving`."""
         return msgspec.structs.replace(self._shape, leaving=self.leaving)
 
     def start(self, request: StartRequest, late: bool = False) -> StartReply:
-        """Starts a task. ``late`` tells that the request's not-after time has passed.
+        """Starts a task. ``late`` means that the request's not-after time has passed.
 
-        An attempt that is running or still listed is answered `STARTED` without a second start.
+        An attempt that is running or still listed gets the reply `STARTED` and is not started
+        again.
         """
         now = self._end_due_tasks()
         attempt = request.attempt_id
@@ -131,7 +134,7 @@
             return refusal
         simulation = read_simulation(request.payload, request.resources)
         if self.fail_all:
-            simulation = Simulation(FAILURE_RUN, simulation.usage, fails=True)
+            simulation = Simulation(FAILED_TASK_RUN_TIME, simulation.usage, fails=True)
             speed = 1.0
         else:
             speed = self._shape.speed
@@ -144,9 +147,9 @@
     def list_tasks(self) -> list[ListedTask]:
         """Returns running tasks and those that ended within the last 60 s."""
         now = self._end_due_tasks()
-        labelled = Capability.LABELS in self._shape.capabilities
+        has_labels = Capability.LABELS in self._shape.capabilities
         tasks = [*self._running_by_id.values(), *self._ended_by_id.values()]
-        return [task.listed(now, labelled) for task in tasks]
+        return [task.to_listed_task(now, has_labels) for task in tasks]
 
     def task(self, attempt_id: AttemptId) -> WorkerTask | None:
         """Returns a running or recently ended task."""
@@ -154,7 +157,7 @@
         return self._running_by_id.get(attempt_id) or self._ended_by_id.get(attempt_id)
 
     def result(self, attempt_id: AttemptId) -> TaskResult | TaskState | None:
-        """Returns the answer of a succeeded task, else its state; ``None`` if unknown."""
+        """Returns the result of a succeeded task, else its state; ``None`` if unknown."""
         task = self.task(attempt_id)
         if task is None:
             return None
@@ -164,7 +167,10 @@
         return TaskResult(attempt_id, self._shape.id, answer, len(answer), payload_digest(answer))
 
     def other_result(self, attempt_id: AttemptId) -> TaskResult | None:
-        """Returns the answer of the most recently succeeded other attempt."""
+        """Returns the result of the other attempt that succeeded last, ``None`` if there is none.
+
+        Faults deliver it in place of the right result.
+        """
         self._end_due_tasks()
         for other, task in reversed(self._ended_by_id.items()):
             if other != attempt_id and task.state is TaskState.SUCCEEDED:
@@ -173,16 +179,16 @@
         return None
 
     async def wait_for_end(self, attempt_id: AttemptId, wait: timedelta) -> None:
-        """Returns when the task has ended or is unknown, at the latest after ``wait``."""
+        """Waits until the task has ended, is unknown, or ``wait`` has elapsed."""
         deadline = self._clock.boot_time() + wait
         while True:
             task = self.task(attempt_id)
             now = self._clock.boot_time()
             if task is None or task.state is not TaskState.RUNNING or now >= deadline:
                 return
-            longest = min(task.ends_at(), deadline) - now
+            remaining = min(task.ends_at(), deadline) - now
             try:
-                async with asyncio.timeout(max(longest.total_seconds(), 0.001)):
+                async with asyncio.timeout(max(remaining.total_seconds(), 0.001)):
                     await task.ended.wait()
             except TimeoutError:
                 continue
@@ -190,16 +196,16 @@
     def renew(
         self, attempt_ids: Iterable[AttemptId], epoch: Epoch, lease: timedelta
     ) -> list[AttemptId]:
-        """Renews the leases of running tasks and returns these.
+        """Renews the leases of running tasks and returns the ids of the renewed ones.
 
-        With the capability ``fence`` a renewal with a lower epoch than the shard's fence has no
+        With the capability ``fence``, a renewal with an epoch below the shard's fence has no
         effect. The task's epoch label becomes the highest epoch that renewed it.
         """
         now = self._end_due_tasks()
         renewed = []
         for attempt in attempt_ids:
             task = self._running_by_id.get(attempt)
-            if task is None or epoch < self._fence(task.request.labels.shard):
+            if task is None or epoch < self._fence_epoch(task.request.labels.shard):
                 continue
             task.renew(now, lease, epoch)
             renewed.append(attempt)
@@ -208,7 +214,7 @@
     def stop(self, attempt_id: AttemptId) -> TaskState | None:
         """Stops the task and returns its final state; ``None`` if unknown.
 
-        With the capability ``fence`` an unknown id is recorded, and a later start refused.
+        With the capability ``fence``, an unknown id is recorded and a later start of it is refused.
         """
         now = self._end_due_tasks()
         task = self._running_by_id.get(attempt_id)
@@ -220,7 +226,7 @@
             return ended.state
         if Capability.FENCE in self._shape.capabilities:
             self._refused_ids[attempt_id] = None
-            while len(self._refused_ids) > REFUSED_IDS_LIMIT:
+            while len(self._refused_ids) > MAX_REFUSED_IDS:
                 del self._refused_ids[next(iter(self._refused_ids))]
         return None
 
@@ -234,9 +240,9 @@
         return True
 
     def throttle(self, attempt_id: AttemptId, resources: Resources) -> bool:
-        """Limits the task to ``resources``, which slows it in proportion to its processors.
+        """Changes the task's allocation; its speed changes in proportion to its processors.
 
-        Returns false if it was not running or ``resources`` do not fit beside the other tasks.
+        Returns false if it was not running or ``resources`` exceed what other tasks leave free.
         """
         now = self._end_due_tasks()
         task = self._running_by_id.get(attempt_id)
@@ -252,20 +258,23 @@
         return True
 
     def fence(self, shard: ShardId, epoch: Epoch) -> bool:
-        """Refuses later starts of the shard with a lower epoch; false if not supported."""
+        """Refuses starts and ignores renewals of the shard with an epoch below ``epoch``.
+
+        Returns false without the capability ``fence``.
+        """
         if Capability.FENCE not in self._shape.capabilities:
             return False
-        self._fence_by_shard[shard] = max(epoch, self._fence(shard))
+        self._fence_by_shard[shard] = max(epoch, self._fence_epoch(shard))
         return True
 
     def usage(self) -> list[UsageReport]:
-        """Returns the use of the tasks that ran at a time ``usage_lag`` ago, as it was then."""
+        """Returns usage and progress, as of ``usage_lag`` ago, of the tasks that ran then."""
         at = self._end_due_tasks() - self._usage_lag
         tasks = [*self._running_by_id.values(), *self._ended_by_id.values()]
         return [task.usage(at) for task in tasks if task.was_running(at)]
 
     def log(self) -> WorkerLog:
-        """Returns all starts and ends so far, in order."""
+        """Returns all starts, throttlings and ends so far, in order."""
         self._end_due_tasks()
         return WorkerLog(
             upstream_id=self._shape.id,
@@ -279,7 +288,8 @@
         capabilities = self._shape.capabilities
         labels = request.labels
         if Capability.FENCE in capabilities and (
-            request.attempt_id in self._refused_ids or labels.epoch < self._fence(labels.shard)
+            request.attempt_id in self._refused_ids
+            or labels.epoch < self._fence_epoch(labels.shard)
         ):
             return StartReply.REFUSED_FENCED
         if late and Capability.NOT_AFTER in capabilities:
@@ -290,18 +300,18 @@
             return StartReply.REFUSED_FULL
         return None
 
-    def _fence(self, shard: ShardId) -> Epoch:
+    def _fence_epoch(self, shard: ShardId) -> Epoch:
         return self._fence_by_shard.get(shard, Epoch(0))
 
     def _end_due_tasks(self) -> timedelta:
         now = self._clock.boot_time()
         due = [task for task in self._running_by_id.values() if task.ends_at() <= now]
         for task in sorted(due, key=WorkerTask.ends_at):
-            state, reason = task.natural_end()
+            state, reason = task.scheduled_end()
             self._end(task, task.ends_at(), state, reason)
         while self._ended_by_id:
             attempt, oldest = next(iter(self._ended_by_id.items()))
-            if oldest.ended_at is None or now - oldest.ended_at <= ENDED_KEPT:
+            if oldest.ended_at is None or now - oldest.ended_at <= ENDED_TASK_RETENTION:
                 break
             del self._ended_by_id[attempt]
         return now
--- a/hornbeamramp/standins/worker_task.py
+++ b/hornbeamramp/standins/worker_task.py
@@ -1,4 +1,4 @@
-"""One task of the simulated worker: its progress, lease and simulated behaviour."""
+"""A task of the simulated worker: its progress, lease and simulated behaviour."""
 
 import asyncio
 from datetime import timedelta
@@ -14,7 +14,15 @@
 
 
 class Simulation(msgspec.Struct, frozen=True):
-    """How a task really behaves. ``run`` is on speed 1.0; ``None`` takes the declared run."""
+    """Actual behaviour of a task.
+
+    `run`
+        Run time at speed 1.0, or ``None`` for the declared one.
+    `usage`
+        Resources in use while it runs.
+    `fails`
+        Whether it fails at the end of its run time.
+    """
 
     run: timedelta | None
     usage: Resources
@@ -32,11 +40,11 @@
 
 
 def read_simulation(payload: bytes, declared: Resources) -> Simulation:
-    """Returns how a task with this payload behaves.
+    """Returns the behaviour of a task with this payload.
 
-    A payload that is a JSON object with a field ``simulate`` (``run_ms`` in milliseconds on
-    speed 1.0, ``usage`` as resources, ``fails``) departs from the declared values; any other
-    payload behaves as declared.
+    A JSON object with a field ``simulate`` (``run_ms`` in milliseconds at speed 1.0, ``usage`` as
+    resources, ``fails``) overrides the declared values; with any other payload the task behaves as
+    declared.
     """
     if b'"simulate"' not in payload:
         return Simulation(None, declared)
@@ -49,7 +57,7 @@
 
 
 class WorkerTask:
-    """A task under a lease. Work is measured as run time on speed 1.0."""
+    """A task under a lease. Work is measured as run time at speed 1.0."""
 
     def __init__(
         self, request: StartRequest, simulation: Simulation, speed: float, now: timedelta
@@ -63,33 +71,33 @@
         self._simulation = simulation
         self._speed = speed
         self._work = request.run if simulation.run is None else simulation.run
-        self._lease_ends = now + request.lease
+        self._lease_expires_at = now + request.lease
         self._renewed_at = now
         self._epoch = request.labels.epoch
-        # Time, work done by then and rate from then on, for each change of the rate.
-        self._phases: list[tuple[timedelta, timedelta, float]] = [(now, timedelta(0), speed)]
+        # For each change of the rate: its time, the work done before it, the rate after it.
+        self._rate_changes: list[tuple[timedelta, timedelta, float]] = [(now, timedelta(0), speed)]
 
     def ends_at(self) -> timedelta:
-        """Returns the boot time at which the task ends by itself or its lease does."""
-        return min(self._finishes_at(), self._lease_ends)
+        """Returns the boot time at which the task finishes or its lease expires, if earlier."""
+        return min(self._finishes_at(), self._lease_expires_at)
 
-    def natural_end(self) -> tuple[TaskState, str]:
-        """Returns state and reason of the end at `ends_at`."""
-        if self._lease_ends < self._finishes_at():
+    def scheduled_end(self) -> tuple[TaskState, str]:
+        """Returns the state after the end at `ends_at` and the reason for it."""
+        if self._lease_expires_at < self._finishes_at():
             return TaskState.STOPPED, "lease"
         if self._simulation.fails:
             return TaskState.FAILED, "failed"
         return TaskState.SUCCEEDED, "finished"
 
     def end(self, at: timedelta, state: TaskState) -> None:
-        """Marks the task as ended and wakes those who wait for it."""
+        """Marks the task as ended and wakes the waiters."""
         self.state = state
         self.ended_at = at
         self.ended.set()
 
     def renew(self, now: timedelta, lease: timedelta, epoch: Epoch) -> None:
-        """Lets the lease run for ``lease`` from now on."""
-        self._lease_ends = now + lease
+        """Sets the lease to expire ``lease`` from now; raises the task's epoch to ``epoch``."""
+        self._lease_expires_at = now + lease
         self._renewed_at = now
         self._epoch = max(self._epoch, epoch)
 
@@ -97,12 +105,12 @@
         """Changes the allocation; the task's rate changes in proportion to its processors."""
         declared = self.request.resources.processors_milli
         share = resources.processors_milli / declared if declared else 1.0
-        self._phases.append((now, self._work_at(now), self._speed * share))
+        self._rate_changes.append((now, self._work_at(now), self._speed * share))
         self.resources = resources
 
-    def listed(self, now: timedelta, labelled: bool) -> ListedTask:
-        """Returns the row of the task list; an ended task has no lease left."""
-        left = self._lease_ends - now if self.state is TaskState.RUNNING else timedelta(0)
+    def to_listed_task(self, now: timedelta, include_labels: bool) -> ListedTask:
+        """Returns the row of the task list; ``lease_left`` of an ended task is 0."""
+        left = self._lease_expires_at - now if self.state is TaskState.RUNNING else timedelta(0)
         labels = msgspec.structs.replace(self.request.labels, epoch=self._epoch)
         return ListedTask(
             self.request.attempt_id,
@@ -110,30 +118,30 @@
             self.resources,
             left,
             now - self._renewed_at,
-            labels if labelled else None,
+            labels if include_labels else None,
         )
 
     def was_running(self, at: timedelta) -> bool:
-        """Tells whether the task ran at the boot time ``at``."""
+        """Returns whether the task was running at boot time ``at``."""
         return self.started_at <= at and (self.ended_at is None or at < self.ended_at)
 
     def usage(self, at: timedelta) -> UsageReport:
-        """Returns use and progress (0 to 1) at the boot time ``at``."""
+        """Returns resource usage and progress (0 to 1) at boot time ``at``."""
         standing = self.request.standing or not self._work
         progress = 0.0 if standing else min(self._work_at(at) / self._work, 1.0)
         return UsageReport(self.request.attempt_id, self._simulation.usage, progress)
 
     def _finishes_at(self) -> timedelta:
-        since, done, rate = self._phases[-1]
+        since, done, rate = self._rate_changes[-1]
         never = timedelta.max
         if self.request.standing and not self._simulation.fails:
             return never
         return since + max(self._work - done, timedelta(0)) / rate if rate > 0 else never
 
     def _work_at(self, at: timedelta) -> timedelta:
-        phase = self._phases[0]
-        for candidate in self._phases:
+        current = self._rate_changes[0]
+        for candidate in self._rate_changes:
             if candidate[0] <= at:
-                phase = candidate
-        since, done, rate = phase
+                current = candidate
+        since, done, rate = current
         return done + max(at - since, timedelta(0)) * rate
