--- a/hornbeamramp/standins/faults.py
+++ b/hornbeamramp/standins/faults.py
@@ -1,4 +1,7 @@
-"""Faults of the stand-in upstream: silent connections, late, lost, crossed and cut answers."""
+"""Fault injection of the stand-in upstream.
+
+Connections that never answer, and responses that are late, lost, swapped or truncated.
+"""
 
 import asyncio
 from enum import Enum
@@ -9,14 +12,14 @@
 
 from hornbeamramp.jobs import TaskResult
 
-__all__ = ["FaultSwitch", "Silence", "Truncation", "UpstreamFaults"]
+__all__ = ["FaultInjector", "Silence", "Truncation", "UpstreamFaults"]
 
 
 class Silence(Enum):
     """Which connections accept requests without ever answering.
 
     `EXISTING`
-        Those open when the fault was set; they stay silent for good. New ones work.
+        Those open when the fault was set; they stay silent after it is cleared. New ones work.
     `ALL`
         All, until the fault is cleared.
     """
@@ -27,12 +30,12 @@
 
 
 class Truncation(Enum):
-    """How results are cut short.
+    """How results are truncated.
 
     `PAYLOAD`
         The payload is shorter than its stated length.
     `BODY`
-        The connection closes in the middle of the answer.
+        The connection is closed in the middle of the response body.
     """
 
     NONE = "none"
@@ -41,26 +44,26 @@
 
 
 class UpstreamFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Body of ``POST /v1/faults``. Fields left out return to their defaults.
+    """Body of ``POST /v1/faults``. Omitted fields are reset to their defaults.
 
     `fail_tasks`
-        Tasks started from now on fail within a few milliseconds.
+        Tasks started from now on fail after 5 ms.
     `silent`
         Which connections never answer. A request that arrives on one has no effect; one that was
-        being handled when the fault was set has its effect but no answer.
+        being handled when the fault was set takes effect but gets no response.
     `late_ms`
-        Answers leave this many milliseconds after the effect.
+        Delay in milliseconds between the effect of a request and its response.
     `crossed`
         A result is replaced by that of another attempt, if there is one.
     `truncated`
-        How results are cut short.
+        How results are truncated.
     `lose_answers`
-        Number of the next answers that are lost after the effect, the connection being closed;
-        -1 for all.
+        Number of the next responses to drop: the request takes effect, then the connection is
+        closed. -1 for all.
     `lose_methods`
-        HTTP methods whose answers are lost; empty for all.
+        HTTP methods whose responses are dropped; empty for all.
     `leaving`
-        The worker reports leaving and refuses starts.
+        The worker reports that it is leaving and refuses starts.
     """
 
     fail_tasks: bool = False
@@ -73,8 +76,8 @@
     leaving: bool = False
 
 
-class FaultSwitch:
-    """Applies the current faults to requests and answers."""
+class FaultInjector:
+    """Applies the current faults to requests and responses."""
 
     def __init__(self) -> None:
         self._faults = UpstreamFaults()
@@ -89,25 +92,27 @@
         if faults.silent is Silence.EXISTING:
             self._silent_connections.update(connections)
 
-    async def before(self, request: web.Request) -> None:
-        """Holds the request for good if its connection is silent."""
+    async def before_request(self, request: web.Request) -> None:
+        """Never returns if the connection of the request is silent."""
         if self._is_silent(request):
-            await _hold()
+            await _block_forever()
 
-    async def after(self, request: web.Request, response: web.StreamResponse) -> web.StreamResponse:
-        """Delays, holds or loses the answer."""
+    async def after_request(
+        self, request: web.Request, response: web.StreamResponse
+    ) -> web.StreamResponse:
+        """Delays, withholds, drops or truncates the response as the current faults say."""
         if self._faults.late_ms:
             await asyncio.sleep(self._faults.late_ms / 1000)
         if self._is_silent(request):
-            await _hold()
-        if self._takes_loss(request):
+            await _block_forever()
+        if self._drops_response(request):
             _abort(request)
         elif self._faults.truncated is Truncation.BODY and _is_result(request):
-            await _send_half(request, response)
+            await _send_truncated(request, response)
         return response
 
-    def distort(self, result: TaskResult, other: TaskResult | None) -> TaskResult:
-        """Returns the result as the current faults deliver it."""
+    def apply_to_result(self, result: TaskResult, other: TaskResult | None) -> TaskResult:
+        """Returns ``result``, or ``other`` or a truncated one as the current faults say."""
         if self._faults.crossed and other is not None:
             return other
         if self._faults.truncated is Truncation.PAYLOAD:
@@ -117,7 +122,7 @@
     def _is_silent(self, request: web.Request) -> bool:
         return self._faults.silent is Silence.ALL or request.protocol in self._silent_connections
 
-    def _takes_loss(self, request: web.Request) -> bool:
+    def _drops_response(self, request: web.Request) -> bool:
         methods = self._faults.lose_methods
         if self._answers_to_lose == 0 or (methods and request.method not in methods):
             return False
@@ -130,12 +135,12 @@
     return request.method == "GET" and "attempt" in request.match_info
 
 
-async def _hold() -> None:
+async def _block_forever() -> None:
     # The server cancels the handler when the client closes the connection.
     await asyncio.Event().wait()
 
 
-async def _send_half(request: web.Request, response: web.StreamResponse) -> None:
+async def _send_truncated(request: web.Request, response: web.StreamResponse) -> None:
     body = response.body if isinstance(response, web.Response) else b""
     if request.transport is None or not isinstance(body, bytes):
         return
--- a/hornbeamramp/standins/upstream.py
+++ b/hornbeamramp/standins/upstream.py
@@ -1,10 +1,10 @@
-"""Stand-in for upstreams: simulated workers behind the upstream HTTP protocol.
+"""Stand-in for upstreams: simulated workers that serve the upstream HTTP protocol.
 
 Run as ``python -m hornbeamramp.standins.upstream --worker id=w1,address=127.0.0.1:0,rack=r1``;
 ``--worker`` may be repeated, and each worker has its own listener. Prints one line
-``listening on IP:PORT as ID`` for each and ends on SIGTERM. Besides the protocol each worker
-serves ``POST /v1/faults`` (body `UpstreamFaults`, replaces all faults) and ``GET /v1/log`` (answer
-`WorkerLog`).
+``listening on IP:PORT as ID`` for each and ends on SIGTERM. In addition to the protocol, each
+worker serves ``POST /v1/faults`` (body `UpstreamFaults`, replaces all faults), ``GET /v1/log``
+(response `WorkerLog`) and ``GET /v1/traceparents`` (trace contexts of the latest starts).
 
 Settings of ``--worker``: ``id``, ``address``, ``rack``, ``processors`` (cores), ``memory_mib``,
 ``accelerators``, ``slots``, ``connections``, ``speed``, ``capabilities`` (joined by ``+``, or
@@ -26,7 +26,7 @@
 from hornbeamramp.ids import AttemptId, RackId, UpstreamId
 from hornbeamramp.jobs import TaskResult
 from hornbeamramp.resources import Resources
-from hornbeamramp.standins.faults import FaultSwitch, UpstreamFaults
+from hornbeamramp.standins.faults import FaultInjector, UpstreamFaults
 from hornbeamramp.standins.serving import (
     BODY_LIMIT_BYTES,
     Listener,
@@ -55,17 +55,17 @@
 
 T = TypeVar("T")
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
-KEPT_TRACEPARENTS = 100
-LONGEST_WAIT = timedelta(seconds=60)
+MAX_TRACEPARENTS = 100
+MAX_RESULT_WAIT = timedelta(seconds=60)
 
 
 class UpstreamServer:
-    """HTTP front of a `WorkerModel`.
+    """HTTP server of a `WorkerModel`.
 
     `shape`
         Shape of the worker.
     `address`
-        ``ip:port`` to listen on; port 0 takes a free one.
+        ``ip:port`` to listen on; port 0 selects a free one.
     `clock`
         Source of time (default: `SystemClock`).
     `usage_lag`
@@ -82,65 +82,65 @@
         self._clock = clock or SystemClock()
         self.model = WorkerModel(shape, self._clock, usage_lag)
         application = web.Application(
-            client_max_size=BODY_LIMIT_BYTES, middlewares=[self._answer_or_fail]
+            client_max_size=BODY_LIMIT_BYTES, middlewares=[self._apply_faults]
         )
         application.add_routes(
             [
-                web.get("/v1/worker", self._shape),
-                web.get("/v1/tasks", self._list),
+                web.get("/v1/worker", self._get_shape),
+                web.get("/v1/tasks", self._list_tasks),
                 web.put("/v1/tasks/{attempt}", self._start),
-                web.get("/v1/tasks/{attempt}", self._result),
+                web.get("/v1/tasks/{attempt}", self._get_result),
                 web.delete("/v1/tasks/{attempt}", self._stop),
                 web.post("/v1/tasks/{attempt}/checkpoint", self._checkpoint),
                 web.post("/v1/tasks/{attempt}/throttle", self._throttle),
                 web.post("/v1/renewals", self._renew),
                 web.post("/v1/fence", self._fence),
-                web.get("/v1/usage", self._usage),
+                web.get("/v1/usage", self._get_usage),
                 web.post("/v1/faults", self._set_faults),
-                web.get("/v1/log", self._log),
+                web.get("/v1/log", self._get_log),
                 web.get("/v1/traceparents", self._list_traceparents),
             ]
         )
         self._listener = Listener(application, address, cancel_handlers=True)
-        self._faults = FaultSwitch()
-        self._traceparents: deque[str] = deque(maxlen=KEPT_TRACEPARENTS)
+        self._faults = FaultInjector()
+        self._traceparents: deque[str] = deque(maxlen=MAX_TRACEPARENTS)
 
     @property
     def address(self) -> str:
-        """``ip:port``, with the real port once started."""
+        """``ip:port``, with the actual port once started."""
         return self._listener.address
 
     async def start(self) -> None:
-        """Listens. Raises ``OSError`` if the address is taken."""
+        """Starts to listen. Raises ``OSError`` if the address is in use."""
         await self._listener.start()
 
     async def stop(self) -> None:
         """Closes the listener and all connections."""
         await self._listener.stop()
 
-    def set_faults(self, faults: UpstreamFaults, kept: Any = None) -> None:
-        """Replaces all faults. The connection ``kept`` does not go silent."""
+    def set_faults(self, faults: UpstreamFaults, exempt: Any = None) -> None:
+        """Replaces all faults. `Silence.EXISTING` does not affect the connection ``exempt``."""
         self.model.fail_all = faults.fail_tasks
         self.model.leaving = faults.leaving
-        connections = [c for c in self._listener.connections() if c is not kept]
+        connections = [c for c in self._listener.connections() if c is not exempt]
         self._faults.set(faults, connections)
 
     @web.middleware
-    async def _answer_or_fail(self, request: web.Request, handler: Handler) -> web.StreamResponse:
+    async def _apply_faults(self, request: web.Request, handler: Handler) -> web.StreamResponse:
         if request.path in ("/v1/faults", "/v1/log"):
             return await handler(request)
-        await self._faults.before(request)
+        await self._faults.before_request(request)
         try:
             response = await handler(request)
         except (msgspec.ValidationError, msgspec.DecodeError, ValueError) as error:
             response = json_response({"title": str(error), "status": 400}, 400)
         response.headers[TIME_HEADER] = str(self._now_ms())
-        return await self._faults.after(request, response)
+        return await self._faults.after_request(request, response)
 
-    async def _shape(self, request: web.Request) -> web.Response:
+    async def _get_shape(self, request: web.Request) -> web.Response:
         return json_response(self.model.shape())
 
-    async def _list(self, request: web.Request) -> web.Response:
+    async def _list_tasks(self, request: web.Request) -> web.Response:
         rows = [
             TaskRow(
                 attempt_id=task.attempt_id,
@@ -155,9 +155,9 @@
         return json_response(TasksReply(rows))
 
     async def _start(self, request: web.Request) -> web.Response:
-        body = await _read(request, StartBody)
+        body = await _read_body(request, StartBody)
         start = StartRequest(
-            attempt_id=_attempt(request),
+            attempt_id=_attempt_id(request),
             payload=body.payload,
             resources=body.resources,
             lease=from_ms(body.lease_ms),
@@ -171,15 +171,15 @@
         reply = self.model.start(start, late=self._now_ms() > body.not_after_at_ms)
         return json_response(StartReplyBody(reply), 200 if reply is StartReply.STARTED else 409)
 
-    async def _result(self, request: web.Request) -> web.Response:
-        attempt = _attempt(request)
+    async def _get_result(self, request: web.Request) -> web.Response:
+        attempt = _attempt_id(request)
         wait = from_ms(int(request.query.get("wait_ms", "0")))
-        await self.model.wait_for_end(attempt, min(wait, LONGEST_WAIT))
+        await self.model.wait_for_end(attempt, min(wait, MAX_RESULT_WAIT))
         result = self.model.result(attempt)
         if result is None:
-            return _unknown()
+            return _not_found()
         if isinstance(result, TaskResult):
-            result = self._faults.distort(result, self.model.other_result(attempt))
+            result = self._faults.apply_to_result(result, self.model.other_result(attempt))
         return json_response(self._result_reply(attempt, result))
 
     def _result_reply(self, attempt: AttemptId, result: TaskResult | TaskState) -> ResultReply:
@@ -196,58 +196,58 @@
         )
 
     async def _stop(self, request: web.Request) -> web.Response:
-        state = self.model.stop(_attempt(request))
-        return _unknown() if state is None else json_response(StopReply(state))
+        state = self.model.stop(_attempt_id(request))
+        return _not_found() if state is None else json_response(StopReply(state))
 
     async def _checkpoint(self, request: web.Request) -> web.Response:
-        done = self.model.checkpoint(_attempt(request))
-        return web.Response(status=204) if done else _unknown()
+        done = self.model.checkpoint(_attempt_id(request))
+        return web.Response(status=204) if done else _not_found()
 
     async def _throttle(self, request: web.Request) -> web.Response:
-        done = self.model.throttle(_attempt(request), await _read(request, Resources))
-        return web.Response(status=204) if done else _unknown()
+        done = self.model.throttle(_attempt_id(request), await _read_body(request, Resources))
+        return web.Response(status=204) if done else _not_found()
 
     async def _renew(self, request: web.Request) -> web.Response:
-        body = await _read(request, RenewalBody)
+        body = await _read_body(request, RenewalBody)
         renewed = self.model.renew(body.attempts, body.epoch, from_ms(body.lease_ms))
         return json_response(RenewalReply(renewed))
 
     async def _fence(self, request: web.Request) -> web.Response:
-        body = await _read(request, FenceBody)
+        body = await _read_body(request, FenceBody)
         return web.Response(status=204 if self.model.fence(body.shard, body.epoch) else 501)
 
-    async def _usage(self, request: web.Request) -> web.Response:
+    async def _get_usage(self, request: web.Request) -> web.Response:
         reports: list[UsageReport] = self.model.usage()
         return json_response(reports)
 
     async def _set_faults(self, request: web.Request) -> web.Response:
         try:
-            faults = await _read(request, UpstreamFaults)
+            faults = await _read_body(request, UpstreamFaults)
         except (msgspec.ValidationError, msgspec.DecodeError) as error:
             return json_response({"title": str(error), "status": 400}, 400)
-        self.set_faults(faults, kept=request.protocol)
+        self.set_faults(faults, exempt=request.protocol)
         return web.Response(status=204)
 
-    async def _log(self, request: web.Request) -> web.Response:
+    async def _get_log(self, request: web.Request) -> web.Response:
         return json_response(self.model.log())
 
     async def _list_traceparents(self, request: web.Request) -> web.Response:
-        """Returns the W3C trace context of the latest starts."""
+        """Returns the W3C trace contexts of the last 100 starts that carried one."""
         return json_response(list(self._traceparents))
 
     def _now_ms(self) -> int:
         return int(self._clock.now().timestamp() * 1000)
 
 
-async def _read(request: web.Request, kind: type[T]) -> T:
+async def _read_body(request: web.Request, kind: type[T]) -> T:
     return msgspec.json.decode(await request.read(), type=kind)
 
 
-def _attempt(request: web.Request) -> AttemptId:
+def _attempt_id(request: web.Request) -> AttemptId:
     return AttemptId(request.match_info["attempt"])
 
 
-def _unknown() -> web.Response:
+def _not_found() -> web.Response:
     return json_response({"title": "no such running task", "status": 404}, 404)
 
 
@@ -268,7 +268,7 @@
         connections=int(settings.pop("connections", "64")),
     )
     if "id" not in settings:
-        raise ValueError(f"a worker needs an id: {text!r}")
+        raise ValueError(f"--worker without an id: {text!r}")
     shape = UpstreamShape(
         id=UpstreamId(settings.pop("id")),
         rack=RackId(settings.pop("rack", "rack-1")),
@@ -277,7 +277,7 @@
         capabilities=frozenset(Capability(n) for n in names.split("+") if n not in ("", "none")),
     )
     if settings:
-        raise ValueError(f"unknown settings of a worker: {', '.join(sorted(settings))}")
+        raise ValueError(f"unknown --worker settings: {', '.join(sorted(settings))}")
     return shape, address, lag
 
 
