--- a/hornbeamramp/standins/platform.py
+++ b/hornbeamramp/standins/platform.py
@@ -1,8 +1,9 @@
-"""Stand-in for the platform's service: `MemoryPlatform` behind the platform's HTTP protocol.
+"""Stand-in for the platform's service: a `MemoryPlatform` that serves the platform HTTP protocol.
 
 Run as ``python -m hornbeamramp.standins.platform --address 127.0.0.1:0``. Prints one line
-``listening on IP:PORT`` and ends on SIGTERM. Besides the protocol it serves ``POST /v1/faults``
-(body `PlatformFaults`, replaces all faults) and ``GET /v1/calls``.
+``listening on IP:PORT`` and ends on SIGTERM. In addition to the protocol, it serves
+``POST /v1/faults`` (body `PlatformFaults`, replaces all faults) and ``GET /v1/calls`` (response
+`PlatformCalls`).
 """
 
 from collections.abc import Awaitable, Callable
@@ -41,19 +42,20 @@
 
 
 class PlatformFaults(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Body of ``POST /v1/faults``. Fields left out return to their defaults, but for ``vms``.
+    """Body of ``POST /v1/faults``. Omitted fields except ``vms`` are reset to their defaults.
 
     `mode`
-        ``up``; ``down`` (connections are closed without an answer and no call takes effect);
+        ``up``; ``down`` (connections are closed without a response and no call takes effect);
         ``slow``; ``lose_answers`` (calls take effect, then the connection is closed).
     `delay_ms`
         Delay of each call in mode ``slow``, in milliseconds.
     `answers_to_lose`
-        Number of the next writes whose answers are lost in mode ``up``.
+        Number of the next writes whose responses are lost in mode ``up``.
     `reads_per_second`, `writes_per_second`
-        Rates over which calls are answered 429 without an effect, or ``None`` for no limit.
+        Rate limits; calls above them are rejected with status 429 and have no effect. ``None`` for
+        no limit.
     `vms`
-        The list of VMs from now on, or ``None`` to leave it as it is.
+        The new list of VMs, or ``None`` to leave the list unchanged.
     """
 
     mode: StoreMode = StoreMode.UP
@@ -65,12 +67,12 @@
 
 
 class PlatformCalls(msgspec.Struct, frozen=True):
-    """Body of the answer to ``GET /v1/calls``.
+    """Body of the response to ``GET /v1/calls``.
 
     `calls`
-        Calls taken, by operation. A waiting watch counts when it begins.
+        Number of calls within the rate limits, by operation. A watch counts when it begins to wait.
     `limited`
-        Calls answered 429, ``read`` and ``write``.
+        Number of calls rejected with status 429, by kind: ``read`` or ``write``.
     """
 
     calls: dict[str, int]
@@ -78,7 +80,10 @@
 
 
 class RateLimit:
-    """Token bucket that holds the calls of one second, but at least one."""
+    """Token bucket. ``rate`` is in calls per second, or ``None`` for no limit.
+
+    It holds the tokens of one second, at least one.
+    """
 
     def __init__(self, rate: float | None, clock: Clock) -> None:
         self._rate = rate
@@ -87,12 +92,12 @@
         self._filled_at = clock.boot_time()
 
     def take(self) -> bool:
-        """Takes one call; false if the rate is exceeded."""
+        """Takes the token of one call; false if the rate is exceeded."""
         if self._rate is None:
             return True
         now = self._clock.boot_time()
-        gained = (now - self._filled_at).total_seconds() * self._rate
-        self._tokens = min(self._tokens + gained, max(self._rate, 1.0))
+        refill = (now - self._filled_at).total_seconds() * self._rate
+        self._tokens = min(self._tokens + refill, max(self._rate, 1.0))
         self._filled_at = now
         if self._tokens < 1.0:
             return False
@@ -101,19 +106,21 @@
 
 
 class PlatformServer:
-    """HTTP front of a `MemoryPlatform`.
+    """HTTP server of a `MemoryPlatform`.
 
     `address`
-        ``ip:port`` to listen on; port 0 takes a free one.
+        ``ip:port`` to listen on; port 0 selects a free one.
     `clock`
-        Source of time for leases and rates (default: `SystemClock`).
+        Source of time for leases and rate limits (default: `SystemClock`).
     """
 
     def __init__(self, address: str, clock: Clock | None = None) -> None:
         self._clock = clock or SystemClock()
         self.platform = MemoryPlatform(self._clock)
-        self._limits = {kind: RateLimit(None, self._clock) for kind in ("read", "write")}
-        self._limited = {"read": 0, "write": 0}
+        self._rate_limit_by_kind = {
+            kind: RateLimit(None, self._clock) for kind in ("read", "write")
+        }
+        self._limited_calls_by_kind = {"read": 0, "write": 0}
         application = web.Application(client_max_size=BODY_LIMIT_BYTES)
         read, write = self._read, self._write
         application.add_routes(
@@ -128,18 +135,18 @@
                 web.delete("/v1/leases/{id}", write(self._revoke_lease)),
                 web.get("/v1/vms", read(self._list_vms)),
                 web.post("/v1/faults", self._set_faults),
-                web.get("/v1/calls", self._calls),
+                web.get("/v1/calls", self._get_calls),
             ]
         )
         self._listener = Listener(application, address)
 
     @property
     def address(self) -> str:
-        """``ip:port``, with the real port once started."""
+        """``ip:port``, with the actual port once started."""
         return self._listener.address
 
     async def start(self) -> None:
-        """Listens. Raises ``OSError`` if the address is taken."""
+        """Starts to listen. Raises ``OSError`` if the address is in use."""
         await self._listener.start()
 
     async def stop(self) -> None:
@@ -147,15 +154,15 @@
         await self._listener.stop()
 
     def _read(self, handler: Handler) -> Handler:
-        return self._guard("read", handler)
+        return self._with_limit_and_errors("read", handler)
 
     def _write(self, handler: Handler) -> Handler:
-        return self._guard("write", handler)
+        return self._with_limit_and_errors("write", handler)
 
-    def _guard(self, kind: str, handler: Handler) -> Handler:
-        async def guarded(request: web.Request) -> web.StreamResponse:
-            if not self._limits[kind].take():
-                self._limited[kind] += 1
+    def _with_limit_and_errors(self, kind: str, handler: Handler) -> Handler:
+        async def handle(request: web.Request) -> web.StreamResponse:
+            if not self._rate_limit_by_kind[kind].take():
+                self._limited_calls_by_kind[kind] += 1
                 return _problem(429, f"rate of {kind}s exceeded", {"Retry-After": "1"})
             try:
                 return await handler(request)
@@ -167,7 +174,7 @@
             except ValueError as error:
                 return _problem(400, str(error))
 
-        return guarded
+        return handle
 
     async def _get(self, request: web.Request) -> web.Response:
         entry = await self.platform.get(request.match_info["key"])
@@ -185,14 +192,14 @@
         must_be_absent = request.headers.get("If-None-Match") == "*"
         if not must_be_absent and "If-Match" not in request.headers:
             return _problem(428, "If-Match or If-None-Match: * is required")
-        expected = None if must_be_absent else _expected(request)
+        expected = None if must_be_absent else _expected_version(request)
         lease = request.headers.get(LEASE_HEADER)
         key = request.match_info["key"]
         version = await self.platform.put(key, value, expected, LeaseId(lease) if lease else None)
         return web.Response(headers=_etag(version))
 
     async def _delete(self, request: web.Request) -> web.Response:
-        await self.platform.delete(request.match_info["key"], _expected(request))
+        await self.platform.delete(request.match_info["key"], _expected_version(request))
         return web.Response(status=204)
 
     async def _list(self, request: web.Request) -> web.Response:
@@ -229,23 +236,25 @@
         self.platform.mode = faults.mode
         self.platform.delay = timedelta(milliseconds=faults.delay_ms)
         self.platform.answers_to_lose = faults.answers_to_lose
-        self._limits = {
+        self._rate_limit_by_kind = {
             "read": RateLimit(faults.reads_per_second, self._clock),
             "write": RateLimit(faults.writes_per_second, self._clock),
         }
         if faults.vms is not None:
             self.platform.vm_by_id = {vm.vm_id: vm for vm in faults.vms}
         if faults.mode is StoreMode.DOWN:
-            # Watches that wait would otherwise outlast the outage.
+            # Pending watches would otherwise stay connected during the simulated outage.
             self._close_connections(request.protocol)
         return web.Response(status=204)
 
-    async def _calls(self, request: web.Request) -> web.Response:
-        return json_response(PlatformCalls(self.platform.calls_by_name, self._limited))
+    async def _get_calls(self, request: web.Request) -> web.Response:
+        return json_response(
+            PlatformCalls(self.platform.calls_by_name, self._limited_calls_by_kind)
+        )
 
-    def _close_connections(self, kept: Any) -> None:
+    def _close_connections(self, exempt: Any) -> None:
         for connection in self._listener.connections():
-            if connection is not kept and connection.transport is not None:
+            if connection is not exempt and connection.transport is not None:
                 connection.transport.abort()
 
 
@@ -258,7 +267,7 @@
     return {"ETag": f'"{version}"'}
 
 
-def _expected(request: web.Request) -> int:
+def _expected_version(request: web.Request) -> int:
     match = ETAG.fullmatch(request.headers.get("If-Match", ""))
     if match is None:
         raise ValueError("If-Match must hold one ETag")
@@ -290,7 +299,7 @@
     Parameters
     ----------
     address
-        ip:port to listen on; port 0 takes a free one.
+        ip:port to listen on; port 0 selects a free one.
     """
     uvloop.run(_serve(address))
 
--- a/hornbeamramp/standins/serving.py
+++ b/hornbeamramp/standins/serving.py
@@ -1,4 +1,4 @@
-"""What both stand-ins need to serve HTTP: listeners on a chosen or free port, run until SIGTERM."""
+"""HTTP server helpers of both stand-ins: listeners on a given or free port, run until SIGTERM."""
 
 import asyncio
 import signal
@@ -10,13 +10,13 @@
 
 __all__ = ["Listener", "json_response", "run_until_signal", "split_address"]
 
-# Handlers that never answer must not delay the end of the process.
-SHUTDOWN_SECONDS = 0.2
+# Handlers that never return, as those of silent connections, must not delay the shutdown.
+SHUTDOWN_TIMEOUT_S = 0.2
 BODY_LIMIT_BYTES = 4 * 1024 * 1024
 
 
 def split_address(address: str) -> tuple[str, int]:
-    """Returns host and port of ``ip:port``. Raises ``ValueError`` if it is of another form."""
+    """Returns host and port of ``ip:port``. Raises ``ValueError`` for any other form."""
     host, separator, port = address.rpartition(":")
     if not (host and separator and port.isdigit()):
         raise ValueError(f"not an address of the form ip:port: {address!r}")
@@ -26,7 +26,7 @@
 def json_response(
     value: Any, status: int = 200, headers: Mapping[str, str] | None = None
 ) -> web.Response:
-    """Returns an answer with ``value`` as JSON; bytes are base64."""
+    """Returns a response with ``value`` as JSON; bytes are encoded as base64."""
     return web.Response(
         body=msgspec.json.encode(value),
         status=status,
@@ -36,12 +36,12 @@
 
 
 class Listener:
-    """An application that listens on one address.
+    """A web application that listens on one address.
 
     `application`
         The aiohttp application.
     `address`
-        ``ip:port``; port 0 takes a free one. `address` holds the real one after `start`.
+        ``ip:port``; port 0 selects a free one, and `address` has the actual port after `start`.
     `cancel_handlers`
         Whether a handler is cancelled when its client disconnects (default: false).
     """
@@ -54,13 +54,13 @@
             application,
             access_log=None,
             handler_cancellation=cancel_handlers,
-            shutdown_timeout=SHUTDOWN_SECONDS,
+            shutdown_timeout=SHUTDOWN_TIMEOUT_S,
             keepalive_timeout=75,
         )
         self.address = address
 
     async def start(self) -> None:
-        """Binds and listens. Raises ``OSError`` if the address is taken."""
+        """Binds and listens. Raises ``OSError`` if the address is in use."""
         await self._runner.setup()
         site = web.TCPSite(self._runner, self._host, self._port, backlog=1024)
         await site.start()
@@ -78,9 +78,9 @@
 
 
 async def run_until_signal() -> None:
-    """Returns on SIGTERM or SIGINT."""
-    stopped = asyncio.Event()
+    """Waits for SIGTERM or SIGINT."""
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stopped.set)
-    await stopped.wait()
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
+    await stop_requested.wait()
