--- a/hornbeamramp/standins/cell.py
+++ b/hornbeamramp/standins/cell.py
@@ -1,4 +1,4 @@
-"""A cell on loopback: stand-in platform and upstreams, and entry processes, each a process.
+"""A cell of real processes on loopback: stand-in platform, stand-in upstreams, entry processes.
 
 Used by the demonstration, by tests with real processes and by measurements. The processes are
 children of the program that uses the cell; `LocalCell.stop` ends them all.
@@ -36,20 +36,21 @@
     @classmethod
     async def start(cls, arguments: list[str], log: Path) -> "Program":
         """Starts ``python -m ARGUMENTS``; standard error goes to ``log``."""
-        with log.open("ab") as errors:
+        with log.open("ab") as stderr_file:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
                 *arguments,
                 stdout=asyncio.subprocess.PIPE,
-                stderr=errors,
+                stderr=stderr_file,
             )
         return cls(process, log)
 
     async def read_match(self, pattern: str) -> re.Match[str]:
-        """Returns the match of the next line of output.
+        """Reads the next line of output and returns its match with ``pattern``.
 
-        Raises ``RuntimeError`` with the log if the program ended or printed something else.
+        Raises ``RuntimeError`` with the end of the log if the line does not match or the output has
+        ended, and ``TimeoutError`` after 30 s without a line.
         """
         assert self.process.stdout is not None
         line = await asyncio.wait_for(self.process.stdout.readline(), START_TIMEOUT_S)
@@ -58,25 +59,32 @@
             raise RuntimeError(f"unexpected output {line!r}\n{self.log.read_text()[-2000:]}")
         return match
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, signal_number: signal.Signals) -> None:
         """Sends a signal; does nothing if the process has ended."""
         if self.process.returncode is None:
             with contextlib.suppress(ProcessLookupError):
-                self.process.send_signal(number)
+                self.process.send_signal(signal_number)
 
     async def stop(self) -> int:
-        """Ends the process with SIGTERM, or SIGKILL after 20 s, and returns its status."""
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGTERM)
+        """Ends the process with SIGTERM, or SIGKILL after 20 s, and returns its exit status.
+
+        A process paused by SIGSTOP is continued first.
+        """
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGTERM)
         try:
             return await asyncio.wait_for(self.process.wait(), STOP_TIMEOUT_S)
         except TimeoutError:
-            self.send(signal.SIGKILL)
+            self.send_signal(signal.SIGKILL)
             return await self.process.wait()
 
 
 class WorkerSpec:
-    """A stand-in worker. ``options`` are those of ``hornbeamramp.standins.upstream --worker``."""
+    """A stand-in worker.
+
+    ``options`` are further settings of ``hornbeamramp.standins.upstream --worker``. ``address`` is
+    set when the worker listens.
+    """
 
     def __init__(self, id: str, data_centre: str, pool: str, **options: str) -> None:
         self.id = id
@@ -85,13 +93,17 @@
         self.options = options
         self.address = ""
 
-    def argument(self) -> str:
+    def to_argument(self) -> str:
         options = {"id": self.id, **self.options}
         return ",".join(f"{name}={value}" for name, value in options.items())
 
 
 class EntryHandle:
-    """An entry process of the cell. ``scheme`` is that of its listeners."""
+    """An entry process of the cell.
+
+    ``scheme`` is ``http`` or ``https``; ``callers``, ``peers`` and ``admin`` are the ports of its
+    listeners, 0 until it listens.
+    """
 
     def __init__(self, vm: str, data_centre: str, program: Program, scheme: str) -> None:
         self.vm = vm
@@ -117,13 +129,13 @@
     `data_centres`
         Names of the data centres.
     `entries_per_data_centre`
-        Entry processes in each.
+        Number of entry processes in each data centre.
     `workers`
         Stand-in workers; those of one data centre share a process.
     `timing`
         Timing settings of the entry processes, in milliseconds.
     `settings`
-        Further settings of the entry processes, by section. With ``tls`` the clients of the cell
+        Further settings of the entry processes, by section. With ``tls``, the clients of the cell
         trust its ``ca_file``.
     """
 
@@ -146,7 +158,9 @@
         self._settings = settings or {}
         tls = self._settings.get("tls")
         self._ca_file = None if tls is None else Path(tls["ca_file"])
-        self._trust = None if tls is None else ssl.create_default_context(cafile=tls["ca_file"])
+        self._ssl_context = (
+            None if tls is None else ssl.create_default_context(cafile=tls["ca_file"])
+        )
         self._directory = tempfile.TemporaryDirectory(prefix="hornbeamramp-")
         self.path = Path(self._directory.name)
         self.token = secrets.token_hex(16)
@@ -179,10 +193,10 @@
         """Ends all processes and removes the settings files."""
         programs = [entry.program for entry in self.entries]
         await asyncio.gather(*(program.stop() for program in programs))
-        others = [*self.program_by_data_centre.values()]
+        remaining = [*self.program_by_data_centre.values()]
         if self.platform is not None:
-            others.append(self.platform)
-        await asyncio.gather(*(program.stop() for program in others))
+            remaining.append(self.platform)
+        await asyncio.gather(*(program.stop() for program in remaining))
         if self._session is not None:
             await self._session.close()
         self._directory.cleanup()
@@ -190,7 +204,10 @@
     async def add_entry(
         self, vm: str, data_centre: str, settings: dict[str, Any] | None = None
     ) -> EntryHandle:
-        """Starts one more entry process and waits until it is ready."""
+        """Starts another entry process and waits until it is ready.
+
+        ``settings`` override those of the cell, by section.
+        """
         entry = await self._launch_entry(vm, data_centre, settings)
         await entry.wait_listening()
         await self.wait_ready(entry)
@@ -205,7 +222,7 @@
     async def put_tables(
         self, routes: list[dict[str, Any]], pool_options: dict[str, dict[str, Any]] | None = None
     ) -> None:
-        """Creates one pool row for each pool named by the workers, then the routes."""
+        """Creates a row for each pool that has workers, with ``pool_options``, then the routes."""
         client = self.admin_client()
         for pool in sorted({worker.pool for worker in self.workers}):
             upstreams = [
@@ -219,7 +236,10 @@
             (await client.put_row("routes", route["name"], route, None)).unwrap()
 
     async def wait_serving(self) -> None:
-        """Waits until every shard has an owner that has recovered."""
+        """Waits until every shard has an owner that has recovered.
+
+        Raises ``RuntimeError`` if that takes longer than about 60 s.
+        """
         client = self.admin_client()
         for _ in range(600):
             status = (await client.status()).unwrap()
@@ -227,7 +247,7 @@
             if shards and all(x["detail"] and x["detail"]["recovered"] for x in shards):
                 return
             await asyncio.sleep(0.1)
-        raise RuntimeError(f"not all shards are served: {json.dumps(status)[:4000]}")
+        raise RuntimeError(f"shards without a recovered owner: {json.dumps(status)[:4000]}")
 
     async def submit(
         self,
@@ -251,21 +271,21 @@
         assert self._session is not None
         timeout = aiohttp.ClientTimeout(total=timeout_s)
         async with self._session.request(
-            method, url, json=body, headers=headers, timeout=timeout, ssl=self._trust or True
+            method, url, json=body, headers=headers, timeout=timeout, ssl=self._ssl_context or True
         ) as response:
             return response.status, json.loads(await response.read() or b"{}")
 
     async def wait_ready(self, entry: EntryHandle) -> None:
-        """Waits until the entry process reports ready."""
+        """Waits until ``/readyz`` of the entry process answers 200."""
         for _ in range(600):
             status, _ = await self.request("GET", f"{entry.url}/readyz")
             if status == 200:
                 return
             await asyncio.sleep(0.05)
-        raise RuntimeError(f"{entry.vm} did not become ready\n{entry.program.log.read_text()}")
+        raise RuntimeError(f"entry {entry.vm} is not ready\n{entry.program.log.read_text()}")
 
     async def worker_logs(self) -> list[dict[str, Any]]:
-        """Returns the log of each worker: every start and end, as the workers saw them."""
+        """Returns the log of each worker, with every start and end as the worker recorded it."""
         logs = []
         for worker in self.workers:
             _, log = await self.request("GET", f"http://{worker.address}/v1/log")
@@ -273,7 +293,7 @@
         return logs
 
     async def platform_faults(self, **faults: Any) -> None:
-        """Switches the stand-in platform's faults."""
+        """Replaces the faults of the stand-in platform, see `PlatformFaults`."""
         await self.request("POST", f"http://{self.platform_address}/v1/faults", faults)
 
     async def _start_platform(self) -> None:
@@ -288,7 +308,7 @@
             return
         arguments = ["hornbeamramp.standins.upstream"]
         for worker in workers:
-            arguments += ["--worker", worker.argument()]
+            arguments += ["--worker", worker.to_argument()]
         program = await Program.start(arguments, self.path / f"upstreams-{data_centre}.log")
         self.program_by_data_centre[data_centre] = program
         for worker in workers:
@@ -296,7 +316,7 @@
             worker.address = match.group(1)
 
     async def _launch_entry(
-        self, vm: str, data_centre: str, further: dict[str, Any] | None = None
+        self, vm: str, data_centre: str, overrides: dict[str, Any] | None = None
     ) -> EntryHandle:
         settings = {
             "vm": vm,
@@ -311,14 +331,14 @@
                 for name in self.data_centres
             },
             **self._settings,
-            **(further or {}),
+            **(overrides or {}),
         }
         file = self.path / f"{vm}.yaml"
         # JSON is a subset of YAML.
         file.write_text(json.dumps(settings))
         arguments = ["hornbeamramp", "serve", "--config", str(file)]
         program = await Program.start(arguments, self.path / f"{vm}.log")
-        scheme = "http" if self._trust is None else "https"
+        scheme = "http" if self._ssl_context is None else "https"
         entry = EntryHandle(vm, data_centre, program, scheme)
         self.entries.append(entry)
         return entry
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -64,7 +64,7 @@
                 for name in ("plan", "settlement")
             ]
             await asyncio.sleep(1.0)
-            owner.program.send(signal.SIGKILL)
+            owner.program.send_signal(signal.SIGKILL)
             replies = await asyncio.gather(*tasks)
             assert [status for status, _ in replies] == [200, 200]
             await assert_one_start_each(cell, 2)
@@ -82,13 +82,13 @@
             owner, other = await prepare(cell)
             running = asyncio.create_task(cell.submit(other, {"route": "plan"}))
             await asyncio.sleep(1.0)
-            owner.program.send(signal.SIGSTOP)
+            owner.program.send_signal(signal.SIGSTOP)
             queued = [
                 asyncio.create_task(cell.submit(other, {"route": "ticket", "payload": n}))
                 for n in range(20)
             ]
             await asyncio.sleep(12.0)
-            owner.program.send(signal.SIGCONT)
+            owner.program.send_signal(signal.SIGCONT)
             replies = await asyncio.gather(running, *queued)
             assert {status for status, _ in replies} == {200}
             for log in await cell.worker_logs():
@@ -148,7 +148,7 @@
             headers = {"Idempotency-Key": "settlement-7"}
             body = {"route": "settlement", "payload": {"supplier": 7}}
             first = await cell.submit(other, body, headers)
-            owner.program.send(signal.SIGKILL)
+            owner.program.send_signal(signal.SIGKILL)
             second = await cell.submit(other, body, headers)
             assert first == second
             assert first[0] == 200
@@ -183,9 +183,9 @@
         async with cell:
             owner, other = await prepare(cell)
             assert (await cell.submit(other, {"route": "ticket"}))[0] == 200
-            owner.program.send(signal.SIGSTOP)
+            owner.program.send_signal(signal.SIGSTOP)
             calls = [cell.submit(other, {"route": "ticket", "payload": n}) for n in range(5)]
             assert {status for status, _ in await asyncio.gather(*calls)} == {200}
-            owner.program.send(signal.SIGCONT)
+            owner.program.send_signal(signal.SIGCONT)
 
     run(scenario())
