--- a/hornbeamramp/standins/load.py
+++ b/hornbeamramp/standins/load.py
@@ -1,13 +1,13 @@
-"""Load tool for the caller API.
+"""Load generator for the caller API.
 
-Sends jobs at a fixed rate whatever the answers do, and prints counts by outcome and latencies.
-Run as ``python -m hornbeamramp.standins.load --address 127.0.0.1:PORT --route tickets=3
+Sends jobs at a fixed rate regardless of response times (open loop), and prints counts and latencies
+by outcome. Run as ``python -m hornbeamramp.standins.load --address 127.0.0.1:PORT --route tickets=3
 --route imaging=1,tasks=2 --rate 50 --duration 10``.
 
 Outcomes: ``completed``, ``failed`` (completed with failed tasks), ``accepted`` (202), ``not_run``,
-``unknown``, ``mismatched`` (an answer that does not belong to the payload or has the wrong number
-of results), ``invalid`` (any other status or body), ``unreachable`` (no complete answer),
-``timeout`` and ``skipped`` (not sent because of the concurrency bound).
+``unknown``, ``mismatched`` (a result that does not belong to the payload, or a wrong number of
+results), ``invalid`` (any other status or body), ``unreachable`` (no complete response),
+``timeout`` and ``skipped`` (not sent because of the concurrency limit).
 """
 
 import asyncio
@@ -46,15 +46,15 @@
     `weight`
         Share of the jobs, relative to the other routes.
     `run_ms`
-        Declared run time in milliseconds, or ``None`` for the route's.
+        Declared run time in milliseconds, or ``None`` for the route's default.
     `idempotent`
-        As sent, or ``None`` for the route's.
+        Value sent with each job, or ``None`` for the route's default.
     `keyed`
-        Whether each job carries an ``Idempotency-Key`` of its own.
+        Whether each job has its own ``Idempotency-Key``.
     `respond_async`
-        Whether the jobs ask for 202 instead of waiting.
+        Whether the jobs request an immediate 202 response instead of waiting for the results.
     `resources`
-        As sent, or ``None`` for the route's.
+        Resources sent with each job, or ``None`` for the route's default.
     """
 
     name: str
@@ -69,22 +69,24 @@
 
 
 class LoadPlan(msgspec.Struct, frozen=True, kw_only=True):
-    """What to send.
+    """Parameters of a load run.
 
     `addresses`
-        ``ip:port`` of the entry VMs, taken in turn.
+        ``ip:port`` of the entry VMs, used round-robin.
     `rate`
-        Jobs per second. `duration` in seconds.
+        Jobs per second.
+    `duration`
+        Length of the run in seconds.
     `concurrency`
-        Most jobs outstanding at once; further ones are counted as skipped.
+        Maximum number of outstanding jobs; jobs above it are counted as skipped.
     `deadline_ms`
-        Deadline stated in each job, in milliseconds, or ``None``.
+        Deadline of each job in milliseconds, or ``None``.
     `timeout`
-        Longest time to wait for an answer, in seconds.
+        Longest time to wait for a response, in seconds.
     `payload_bytes`
-        Size of the random payload, which is sent as a text in base64.
+        Size of the random payload, which is sent as a base64 string.
     `seed`
-        Seed of the mix of routes and of the payloads.
+        Seed for the choice of routes and for the payloads.
     """
 
     addresses: list[str]
@@ -99,8 +101,11 @@
 
 
 class LoadRow(msgspec.Struct, frozen=True):
-    """Count and latencies in milliseconds of one outcome on one route. ``detail`` is the reason
-    or status an answer gave. Latency counts from the time the job was due."""
+    """Count and latencies in milliseconds of one outcome on one route.
+
+    ``detail`` is the reason or status in the response. Latency is measured from the time at which
+    the job was due, so that a late send counts towards it.
+    """
 
     route: str
     outcome: str
@@ -112,7 +117,11 @@
 
 
 class LoadReport(msgspec.Struct, frozen=True):
-    """Result of a run. ``elapsed`` is in seconds, from the first job due to the last answer."""
+    """Result of a run.
+
+    ``due`` is the number of jobs; ``elapsed`` is in seconds, from the first job due to the last
+    response.
+    """
 
     due: int
     elapsed: float
@@ -137,18 +146,18 @@
 
 
 def classify(status: int, body: bytes, payload: bytes, tasks: int) -> tuple[str, str]:
-    """Returns outcome and detail of an answer, see the module docstring.
+    """Returns outcome and detail of a response, see the module docstring.
 
-    ``payload`` is the JSON text of the payload as it was sent.
+    ``payload`` is the JSON text of the payload as sent, ``tasks`` the number of tasks of the job.
     """
     try:
         if status == 202:
             return "accepted", ""
         if status in (200, 201):
-            # A service is answered with 201 once it runs, before its tasks have results.
-            results = tasks if status == 200 else 0
+            # 201 means that a service has started; its tasks have no results yet.
+            expected_count = tasks if status == 200 else 0
             document = msgspec.json.decode(body, type=_CompletedBody)
-            return _classify_completed(document, payload, results)
+            return _classify_completed(document, payload, expected_count)
         problem = msgspec.json.decode(body, type=_ProblemBody)
     except (msgspec.ValidationError, msgspec.DecodeError):
         return "invalid", str(status)
@@ -157,18 +166,20 @@
     return "invalid", str(status)
 
 
-def _classify_completed(body: _CompletedBody, payload: bytes, results: int) -> tuple[str, str]:
+def _classify_completed(
+    body: _CompletedBody, payload: bytes, expected_count: int
+) -> tuple[str, str]:
     if body.state == "failed":
         return "failed", ""
     answer = expected_answer(payload)
-    if len(body.answers) != results:
-        return "mismatched", f"{len(body.answers)} answers instead of {results}"
+    if len(body.answers) != expected_count:
+        return "mismatched", f"{len(body.answers)} answers instead of {expected_count}"
     if any(row.payload_base64 != answer for row in body.answers):
         return "mismatched", "payload"
     return "completed", ""
 
 
-class _Run:
+class _LoadRun:
     def __init__(self, plan: LoadPlan, clock: Clock) -> None:
         self._plan = plan
         self._clock = clock
@@ -178,26 +189,26 @@
 
     async def run(self) -> LoadReport:
         plan = self._plan
-        due = max(int(plan.rate * plan.duration), 1)
+        job_count = max(int(plan.rate * plan.duration), 1)
         weights = [route.weight for route in plan.routes]
         timeout = aiohttp.ClientTimeout(total=plan.timeout)
         connector = aiohttp.TCPConnector(limit=0)
-        started = self._seconds()
+        started_at = self._now_s()
         pending: set[asyncio.Task[None]] = set()
         async with aiohttp.ClientSession(connector=connector, timeout=timeout) as session:
-            for number in range(due):
-                due_at = started + number / plan.rate
-                await asyncio.sleep(max(due_at - self._seconds(), 0.0))
+            for number in range(job_count):
+                due_at = started_at + number / plan.rate
+                await asyncio.sleep(max(due_at - self._now_s(), 0.0))
                 route = self._random.choices(plan.routes, weights)[0]
                 payload = msgspec.json.encode(self._random.randbytes(plan.payload_bytes))
                 if len(pending) >= plan.concurrency:
-                    self._note(route, "skipped", "", due_at)
+                    self._record(route, "skipped", "", due_at)
                     continue
                 task = asyncio.create_task(self._send(session, route, payload, due_at))
                 pending.add(task)
                 task.add_done_callback(pending.discard)
             await asyncio.gather(*pending)
-        return LoadReport(due, round(self._seconds() - started, 3), self._rows())
+        return LoadReport(job_count, round(self._now_s() - started_at, 3), self._rows())
 
     async def _send(
         self, session: aiohttp.ClientSession, route: RouteLoad, payload: bytes, due_at: float
@@ -213,7 +224,7 @@
             outcome, detail = "timeout", ""
         except (aiohttp.ClientError, OSError) as error:
             outcome, detail = "unreachable", type(error).__name__
-        self._note(route, outcome, detail, due_at)
+        self._record(route, outcome, detail, due_at)
 
     def _body(self, route: RouteLoad, payload: bytes) -> bytes:
         fields = {
@@ -228,8 +239,8 @@
         }
         return msgspec.json.encode({k: v for k, v in fields.items() if v is not None})
 
-    def _note(self, route: RouteLoad, outcome: str, detail: str, due_at: float) -> None:
-        latency_ms = (self._seconds() - due_at) * 1000
+    def _record(self, route: RouteLoad, outcome: str, detail: str, due_at: float) -> None:
+        latency_ms = (self._now_s() - due_at) * 1000
         key = (route.name, outcome, detail)
         self._latencies_by_row.setdefault(key, []).append(latency_ms)
 
@@ -245,42 +256,42 @@
             for key, latencies in sorted(self._latencies_by_row.items())
         ]
 
-    def _seconds(self) -> float:
+    def _now_s(self) -> float:
         return self._clock.boot_time().total_seconds()
 
 
 async def run_load(plan: LoadPlan, clock: Clock | None = None) -> LoadReport:
     """Sends the jobs of ``plan`` and returns the report once all are answered or timed out.
 
-    Raises ``ValueError`` if the plan names no route or address, or its rate is not positive.
+    Raises ``ValueError`` if the plan has no route or no address, or its rate is not positive.
     """
     if not plan.routes or not plan.addresses or plan.rate <= 0:
-        raise ValueError("a plan needs a route, an address and a rate of more than 0")
-    return await _Run(plan, clock or SystemClock()).run()
+        raise ValueError("load plan without a route, an address or a rate above 0")
+    return await _LoadRun(plan, clock or SystemClock()).run()
 
 
 def parse_route(text: str) -> RouteLoad:
-    """Returns the route from ``NAME=WEIGHT[,FIELD=VALUE...]``.
+    """Parses a route in the form ``NAME=WEIGHT[,FIELD=VALUE...]``.
 
     Fields are ``tasks``, ``run_ms``, ``idempotent``, ``keyed``, ``respond_async``, ``team`` and
-    the fields of `Resources`. Raises ``ValueError`` on an unknown field or a bad value.
+    the fields of `Resources`. Raises ``ValueError`` on an unknown field or an invalid value.
     """
-    first, *rest = text.split(",")
-    name, _, weight = first.partition("=")
-    fields: dict[str, object] = dict(part.partition("=")[::2] for part in rest)
-    amounts = {k: fields.pop(k) for k in Resources.__struct_fields__ if k in fields}
-    if amounts:
-        fields["resources"] = amounts
+    head, *field_texts = text.split(",")
+    name, _, weight = head.partition("=")
+    fields: dict[str, object] = dict(part.partition("=")[::2] for part in field_texts)
+    resource_fields = {k: fields.pop(k) for k in Resources.__struct_fields__ if k in fields}
+    if resource_fields:
+        fields["resources"] = resource_fields
     unknown = set(fields) - set(RouteLoad.__struct_fields__)
     if unknown:
-        raise ValueError(f"unknown fields of a route: {', '.join(sorted(unknown))}")
+        raise ValueError(f"unknown fields in --route: {', '.join(sorted(unknown))}")
     return msgspec.convert(
         {"name": name, "weight": weight or 1.0, **fields}, RouteLoad, strict=False
     )
 
 
 def render_table(report: LoadReport) -> str:
-    """Returns the report as a table of text."""
+    """Returns the report as a plain-text table."""
     titles = ("route", "outcome", "detail", "count", "p50 ms", "p99 ms", "max ms")
     rows = [titles, *(tuple(str(v) for v in msgspec.structs.astuple(r)) for r in report.rows)]
     widths = [max(len(row[i]) for row in rows) for i in range(len(titles))]
@@ -310,7 +321,7 @@
 
 
 def _percentile(values: list[float], share: float) -> float:
-    """Returns the smallest value that at least ``share`` of the values do not exceed."""
+    """Returns the nearest-rank percentile; ``share`` is from 0 to 1."""
     ordered = sorted(values)
     return round(ordered[max(math.ceil(share * len(ordered)) - 1, 0)], 1)
 
@@ -328,7 +339,7 @@
     seed: int = 1,
     json: bool = False,
 ) -> None:
-    """Send jobs to the caller API and print counts by outcome and latencies.
+    """Send jobs to the caller API and print counts and latencies by outcome.
 
     Parameters
     ----------
@@ -340,17 +351,17 @@
     rate
         Jobs per second.
     duration
-        Seconds.
+        Length of the run in seconds.
     concurrency
-        Most jobs outstanding at once.
+        Maximum number of outstanding jobs.
     deadline_ms
         Deadline of each job in milliseconds.
     timeout
-        Longest wait for an answer in seconds.
+        Longest wait for a response in seconds.
     payload_bytes
         Size of the payload.
     seed
-        Seed of the mix of routes and of the payloads.
+        Seed for the choice of routes and for the payloads.
     json
         Print JSON instead of a table.
     """
