--- a/hornbeamramp/standins/latency.py
+++ b/hornbeamramp/standins/latency.py
@@ -1,10 +1,10 @@
-"""Measures what a hop costs: a short task by three ways, side by side in one run.
+"""Measures the latency added by each hop: a short task on three paths, compared in one run.
 
 Run as ``python -m hornbeamramp.standins.latency``. Starts a cell of one data centre with two entry
 processes and four workers on loopback, and sends the same short task through the entry VM that owns
-the shard, through the one that does not, and to a worker by the upstream protocol (a start and the
-wait for the result). Prints p50 and p99 of each when idle, and the highest rate, raised in steps,
-at which p99 stays under ten times the idle one.
+the shard, through the one that does not, and directly to a worker by the upstream protocol (a start
+and a wait for the result). Prints p50 and p99 of each path when idle, and the highest rate, raised
+in steps, at which no request fails and p99 is below ten times the idle p99.
 """
 
 import asyncio
@@ -25,17 +25,21 @@
 __all__ = ["percentile", "run_latency"]
 
 ROUTE = {"name": "short", "pool": "tickets", "run_ms": 1, "resources": {"processors_milli": 10}}
-RATES = (25, 50, 100, 200, 400, 800)
-STEP_SECONDS = 3.0
-LIMIT_FACTOR = 10.0
+RATES_PER_S = (25, 50, 100, 200, 400, 800)
+STEP_DURATION_S = 3.0
+P99_LIMIT_FACTOR = 10.0
 
 Send = Callable[[], Awaitable[bool]]
 
 
-class WayReport(msgspec.Struct, frozen=True):
-    """Figures of one way. ``rate_under_limit`` is in requests per second, 0 if no step passed."""
+class PathReport(msgspec.Struct, frozen=True):
+    """Results of one path.
 
-    way: str
+    ``rate_under_limit`` is in requests per second, 0 if no step passed. ``steps`` has the rate, the
+    p99 in milliseconds and the number of failures of each step.
+    """
+
+    path: str = msgspec.field(name="way")
     idle_p50_ms: float
     idle_p99_ms: float
     idle_failed: int
@@ -44,29 +48,29 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Returns the smallest value that at least ``share`` of the values do not exceed."""
+    """Returns the nearest-rank percentile; ``share`` is from 0 to 1."""
     ordered = sorted(values)
     return round(ordered[max(math.ceil(share * len(ordered)) - 1, 0)], 2)
 
 
-async def run_latency(requests: int, step_seconds: float = STEP_SECONDS) -> list[WayReport]:
-    """Starts the cell and returns the figures of each way; ``requests`` are sent when idle."""
+async def run_latency(requests: int, step_seconds: float = STEP_DURATION_S) -> list[PathReport]:
+    """Starts the cell and measures each path; ``requests`` is the number sent to each when idle."""
     workers = [WorkerSpec(f"worker-{n}", "gebze", "tickets") for n in range(1, 5)]
     async with LocalCell(["gebze"], 2, workers) as cell, _session() as session:
         await cell.put_tables([ROUTE])
         await cell.wait_serving()
         status = (await cell.admin_client().status()).unwrap()
         owner = status["shards"][0]["owner"]
-        by_owning = {entry.vm == owner: entry.url for entry in cell.entries}
-        ways: list[tuple[str, Send]] = [
-            ("entry VM that does not own", _through_entry(session, by_owning[False])),
-            ("entry VM that owns", _through_entry(session, by_owning[True])),
-            ("upstream directly", _direct(session, workers[0].address)),
+        url_by_ownership = {entry.vm == owner: entry.url for entry in cell.entries}
+        paths: list[tuple[str, Send]] = [
+            ("entry VM that does not own", _through_entry(session, url_by_ownership[False])),
+            ("entry VM that owns", _through_entry(session, url_by_ownership[True])),
+            ("upstream directly", _to_upstream(session, workers[0].address)),
         ]
-        idle = await _measure_idle([send for _, send in ways], requests)
+        idle = await _measure_idle([send for _, send in paths], requests)
         return [
-            await _report(way, send, *figures, step_seconds)
-            for (way, send), figures in zip(ways, idle, strict=True)
+            await _measure_path(path, send, *idle_result, step_seconds)
+            for (path, send), idle_result in zip(paths, idle, strict=True)
         ]
 
 
@@ -86,11 +90,11 @@
     return send
 
 
-def _direct(session: aiohttp.ClientSession, address: str) -> Send:
+def _to_upstream(session: aiohttp.ClientSession, address: str) -> Send:
     numbers = itertools.count()
 
     async def send() -> bool:
-        # The epoch is above any owner's, so that a fence of the cell does not refuse the attempt.
+        # The epoch is above that of any owner, so that no fence in the cell refuses the attempt.
         attempt = f"direct-{next(numbers)}.0.1000.0"
         url = f"http://{address}/v1/tasks/{attempt}"
         labels = {"shard": "direct@gebze", "epoch": 1000, "owner": "direct", "job_id": attempt}
@@ -114,7 +118,10 @@
 
 
 async def _measure_idle(sends: list[Send], requests: int) -> list[tuple[list[float], int]]:
-    """Returns latencies and failures of each way, one request at a time, the ways in turn."""
+    """Returns latencies in milliseconds and failures of each path.
+
+    Requests are sent one at a time, to the paths in turn.
+    """
     results: list[tuple[list[float], int]] = []
     latencies: list[list[float]] = [[] for _ in sends]
     failed = [0] * len(sends)
@@ -130,29 +137,32 @@
     return results
 
 
-async def _report(
-    way: str, send: Send, idle: list[float], failed: int, step_seconds: float
-) -> WayReport:
+async def _measure_path(
+    path: str, send: Send, idle: list[float], failed: int, step_seconds: float
+) -> PathReport:
     idle_p99 = percentile(idle, 0.99)
     steps = []
-    highest = 0
-    for rate in RATES:
+    highest_rate = 0
+    for rate in RATES_PER_S:
         latencies, step_failed = await _measure_rate(send, rate, step_seconds)
         p99 = percentile(latencies, 0.99)
         steps.append({"rate": rate, "p99_ms": p99, "failed": step_failed})
-        if step_failed or p99 >= LIMIT_FACTOR * idle_p99:
+        if step_failed or p99 >= P99_LIMIT_FACTOR * idle_p99:
             break
-        highest = rate
-    return WayReport(way, percentile(idle, 0.5), idle_p99, failed, highest, steps)
+        highest_rate = rate
+    return PathReport(path, percentile(idle, 0.5), idle_p99, failed, highest_rate, steps)
 
 
 async def _measure_rate(send: Send, rate: int, seconds: float) -> tuple[list[float], int]:
-    """Sends at a fixed rate whatever the answers do; latencies count from the time due."""
+    """Sends at a fixed rate regardless of response times; returns latencies and failures.
+
+    Latencies are in milliseconds from the time at which the request was due.
+    """
     latencies: list[float] = []
     failures = 0
     started_at = time.monotonic()
 
-    async def one(due_at: float) -> None:
+    async def send_one(due_at: float) -> None:
         nonlocal failures
         try:
             failures += not await send()
@@ -164,7 +174,7 @@
     for number in range(int(rate * seconds)):
         due_at = started_at + number / rate
         await asyncio.sleep(max(due_at - time.monotonic(), 0.0))
-        tasks.append(asyncio.create_task(one(due_at)))
+        tasks.append(asyncio.create_task(send_one(due_at)))
     await asyncio.gather(*tasks)
     return latencies, failures
 
@@ -175,7 +185,7 @@
     Parameters
     ----------
     requests
-        Requests of each way when idle.
+        Number of requests on each path when idle.
     json
         Print JSON instead of a table.
     """
@@ -186,7 +196,7 @@
     print(f"{'way':28} {'p50 ms':>8} {'p99 ms':>8} {'failed':>7} {'requests/s':>11}")
     for row in reports:
         print(
-            f"{row.way:28} {row.idle_p50_ms:8.2f} {row.idle_p99_ms:8.2f} {row.idle_failed:7}"
+            f"{row.path:28} {row.idle_p50_ms:8.2f} {row.idle_p99_ms:8.2f} {row.idle_failed:7}"
             f" {row.rate_under_limit:11}"
         )
         steps = ", ".join(
