--- a/hornbeamramp/demo.py
+++ b/hornbeamramp/demo.py
@@ -1,4 +1,4 @@
-"""Demonstration: a cell of three data centres on loopback that answers jobs of every kind."""
+"""Demonstration: runs jobs of every kind on a cell of three data centres on loopback."""
 
 import asyncio
 import base64
@@ -37,7 +37,7 @@
     },
 ]
 
-# Label, route, further fields of the body, headers.
+# Label, route, further fields of the request body, request headers.
 JOBS: list[tuple[str, str, dict[str, Any], dict[str, str]]] = [
     ("weigh ticket", "weigh-ticket", {"deadline_ms": 2000}, {}),
     ("settlement", "settlement", {}, {"Idempotency-Key": "settlement-1"}),
@@ -73,7 +73,10 @@
 
 
 async def run_demo(verbose: bool) -> int:
-    """Runs the demonstration and returns the exit status: 0 if every answer was right."""
+    """Runs the demonstration and returns the exit status: 0 if every answer was right, else 1.
+
+    With ``verbose`` it also prints the owner of each shard.
+    """
     console = Console()
     console.print("starting 6 entry processes, 12 workers and the platform on loopback")
     cell = LocalCell(DATA_CENTRES, 2, demo_workers())
@@ -81,12 +84,14 @@
         await cell.put_tables(ROUTES)
         await cell.wait_serving()
         status = (await cell.admin_client().status()).unwrap()
-        owners = {shard["shard"]: shard["owner"] for shard in status["shards"]}
-        rows = [await _run_job(cell, owners, number, job) for number, job in enumerate(JOBS)]
+        owner_by_shard = {shard["shard"]: shard["owner"] for shard in status["shards"]}
+        rows = [
+            await _run_job(cell, owner_by_shard, number, job) for number, job in enumerate(JOBS)
+        ]
         rows.append(await _cancel_service(cell, rows))
         _print_rows(console, rows)
         if verbose:
-            for shard, owner in sorted(owners.items()):
+            for shard, owner in sorted(owner_by_shard.items()):
                 console.print(f"{shard} is owned by {owner}")
     wrong = [row for row in rows if not row["right"]]
     console.print("all answers are right" if not wrong else f"{len(wrong)} answers are WRONG")
@@ -95,17 +100,17 @@
 
 async def _run_job(
     cell: LocalCell,
-    owners: dict[str, str],
+    owner_by_shard: dict[str, str],
     number: int,
     job: tuple[str, str, dict[str, Any], dict[str, str]],
 ) -> dict[str, Any]:
     label, route, fields, headers = job
-    entry = _other_entry(cell, owners, route, number)
+    entry = _non_owner_entry(cell, owner_by_shard, route, number)
     body = {"route": route, "payload": {"demo": label.removesuffix(" again")}, **fields}
     started_at = time.monotonic()
     status, answer = await cell.submit(entry, body, headers)
     if status == 202:
-        status, answer = await _fetch(cell, entry, answer["id"])
+        status, answer = await _poll_until_finished(cell, entry, answer["id"])
     elapsed_ms = (time.monotonic() - started_at) * 1000
     tasks = fields.get("tasks", 1)
     right = status == 201 if route == "gate-watcher" else _is_right(status, answer, body, tasks)
@@ -122,15 +127,24 @@
     }
 
 
-def _other_entry(cell: LocalCell, owners: dict[str, str], route: str, number: int) -> EntryHandle:
-    """Returns an entry process that owns no shard of the route's pool, if there is one."""
+def _non_owner_entry(
+    cell: LocalCell, owner_by_shard: dict[str, str], route: str, number: int
+) -> EntryHandle:
+    """Returns an entry process that owns no shard of the route's pool, or any if all own one.
+
+    A job sent to it has to be forwarded to the owner.
+    """
     pool = next(row["pool"] for row in ROUTES if row["name"] == route)
-    busy = {owner for shard, owner in owners.items() if shard.startswith(f"{pool}@")}
-    free = [entry for entry in cell.entries if entry.vm not in busy] or cell.entries
-    return free[number % len(free)]
+    owners_of_pool = {
+        owner for shard, owner in owner_by_shard.items() if shard.startswith(f"{pool}@")
+    }
+    candidates = [entry for entry in cell.entries if entry.vm not in owners_of_pool] or cell.entries
+    return candidates[number % len(candidates)]
 
 
-async def _fetch(cell: LocalCell, entry: EntryHandle, job_id: str) -> tuple[int, dict[str, Any]]:
+async def _poll_until_finished(
+    cell: LocalCell, entry: EntryHandle, job_id: str
+) -> tuple[int, dict[str, Any]]:
     for _ in range(200):
         status, answer = await cell.request("GET", f"{entry.url}/v1/jobs/{job_id}")
         if status != 200 or answer["state"] in ("completed", "failed"):
--- a/tools/build_binary.py
+++ b/tools/build_binary.py
@@ -1,8 +1,8 @@
 """Builds dist/hornbeamramp, one file that runs with the Python version of the build.
 
-Copies the installed distributions that the project's dependencies name, and the package itself, and
-packs them with shiv. Nothing is downloaded. At its first start the file unpacks itself below
-``SHIV_ROOT`` (default ``~/.shiv``) and goes on in the same process.
+Copies the package and the installed distributions of its runtime dependencies to a staging
+directory and packs them with shiv. Nothing is downloaded. At its first start, the file unpacks
+itself below ``SHIV_ROOT`` (default ``~/.shiv``) and continues in the same process.
 """
 
 import importlib.metadata
@@ -14,17 +14,17 @@
 from pathlib import Path
 
 ROOT = Path(__file__).resolve().parent.parent
-STAGE = ROOT / "build" / "binary"
+STAGING_DIR = ROOT / "build" / "binary"
 TARGET = ROOT / "dist" / "hornbeamramp"
 
 
-def needed_distributions() -> list[importlib.metadata.Distribution]:
-    """Returns the distributions of the runtime dependencies and of what these depend on."""
+def runtime_distributions() -> list[importlib.metadata.Distribution]:
+    """Returns the installed distributions of the runtime and transitive dependencies."""
     project = tomllib.loads((ROOT / "pyproject.toml").read_text())["project"]
-    waiting = list(project["dependencies"])
+    requirements = list(project["dependencies"])
     by_name: dict[str, importlib.metadata.Distribution] = {}
-    while waiting:
-        requirement = waiting.pop()
+    while requirements:
+        requirement = requirements.pop()
         name, _, marker = requirement.partition(";")
         name = re.match(r"[\w.-]+", name.strip()).group().lower()
         if "extra" in marker or name in by_name:
@@ -32,32 +32,32 @@
         try:
             by_name[name] = importlib.metadata.distribution(name)
         except importlib.metadata.PackageNotFoundError:
-            # A dependency of another platform or Python version.
+            # Not installed because it is for another platform or Python version.
             continue
-        waiting += by_name[name].requires or []
+        requirements += by_name[name].requires or []
     return [by_name[name] for name in sorted(by_name)]
 
 
 def copy_distribution(distribution: importlib.metadata.Distribution) -> None:
-    """Copies the files of a distribution that lie in site-packages."""
+    """Copies the files of a distribution that are in site-packages to the staging directory."""
     for file in distribution.files or []:
         if ".." in file.parts or file.suffix == ".pyc":
             continue
-        target = STAGE / file
+        target = STAGING_DIR / file
         target.parent.mkdir(parents=True, exist_ok=True)
         shutil.copy2(file.locate(), target)
 
 
 def main() -> None:
     """Builds the file and prints its path and size."""
-    shutil.rmtree(STAGE, ignore_errors=True)
-    STAGE.mkdir(parents=True)
-    for distribution in needed_distributions():
+    shutil.rmtree(STAGING_DIR, ignore_errors=True)
+    STAGING_DIR.mkdir(parents=True)
+    for distribution in runtime_distributions():
         copy_distribution(distribution)
     ignored = shutil.ignore_patterns("__pycache__")
-    shutil.copytree(ROOT / "hornbeamramp", STAGE / "hornbeamramp", ignore=ignored)
+    shutil.copytree(ROOT / "hornbeamramp", STAGING_DIR / "hornbeamramp", ignore=ignored)
     TARGET.parent.mkdir(exist_ok=True)
-    command = [sys.executable, "-m", "shiv", "--site-packages", str(STAGE), "--reproducible"]
+    command = [sys.executable, "-m", "shiv", "--site-packages", str(STAGING_DIR), "--reproducible"]
     command += ["-p", "/usr/bin/env python3", "-e", "hornbeamramp.cli:main", "-o", str(TARGET)]
     subprocess.run(command, check=True)
     print(f"{TARGET.relative_to(ROOT)}: {TARGET.stat().st_size / 1e6:.1f} MB")
--- a/tools/fault_matrix_reasons.py
+++ b/tools/fault_matrix_reasons.py
@@ -1,6 +1,6 @@
-"""Rows of the fault matrix and the cells that can't occur, with their reasons."""
+"""Rows of the fault matrix, and the reasons why some of its cells can't occur."""
 
-__all__ = ["FAULTS", "REASON_BY_LETTER", "reason_of"]
+__all__ = ["FAULTS", "REASON_BY_LETTER", "reason_letter"]
 
 FAULTS = [
     "process killed",
@@ -27,10 +27,10 @@
 REASON_BY_LETTER = {
     "a": "The step sends nothing to an upstream and reads nothing from one.",
     "b": "The step neither reads nor writes the store.",
-    "c": "The step happens inside one process, so no message or connection takes part.",
-    "d": "Operators change only the tables; other steps have no operator.",
-    "e": "The step neither uses the process lease nor a proof of ownership.",
-    "f": "The step happens inside one data centre or process.",
+    "c": "The step runs inside one process and uses no message or connection.",
+    "d": "Operators change only the configuration tables and take no part in other steps.",
+    "e": "The step uses neither the process lease nor a proof of ownership.",
+    "f": "The step runs inside one data centre or process.",
 }
 
 _NO_UPSTREAM = {"accept", "forward", "admit", "journal", "change_accepted", "change_applied"}
@@ -74,8 +74,8 @@
 }
 
 
-def reason_of(fault: str, step: str) -> str | None:
-    """Returns the letter of the reason why the cell can't occur, ``None`` if it can."""
+def reason_letter(fault: str, step: str) -> str | None:
+    """Returns the letter of the reason why the cell can't occur, or ``None`` if it can."""
     for (name, letter), steps in _STEPS_BY_FAULT_AND_LETTER.items():
         if name == fault and step in steps:
             return letter
--- a/tools/measure_binary.py
+++ b/tools/measure_binary.py
@@ -1,7 +1,7 @@
-"""Starts dist/hornbeamramp twice and prints start time, memory, unpacked size and children.
+"""Starts dist/hornbeamramp twice and prints start time, memory, unpacked size and child processes.
 
-Runs ``serve`` against a stand-in platform on loopback, the first time with nothing unpacked. Ends
-with status 1 if the program started another process.
+Runs ``serve`` with a stand-in platform on loopback; at the first start nothing is unpacked yet.
+Exits with status 1 if the program started a child process.
 """
 
 import asyncio
@@ -20,12 +20,16 @@
 
 
 def unpacked_mb(root: Path) -> float:
-    """Returns the size of all files below ``root``."""
+    """Returns the total size in MB of the files below ``root``."""
     return round(sum(f.stat().st_size for f in root.rglob("*") if f.is_file()) / 1e6, 1)
 
 
 async def measure_start(settings: Path, root: Path) -> dict[str, float]:
-    """Starts ``serve`` and returns seconds until it listens, MB and the number of children."""
+    """Starts ``serve`` and returns the measured values.
+
+    These are the seconds until it listens, resident memory and unpacked size in MB, and the number
+    of child processes.
+    """
     started_at = time.monotonic()
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -40,20 +44,20 @@
     seconds = time.monotonic() - started_at
     running = psutil.Process(process.pid)
     times = running.cpu_times()
-    # Processor time of children that have ended shows those that are no longer listed.
-    ended = int(times.children_user + times.children_system > 0)
+    # Children that have exited are no longer listed; their processor time shows that they existed.
+    ended_children = int(times.children_user + times.children_system > 0)
     result = {
         "start_s": round(seconds, 2),
         "resident_mb": round(running.memory_info().rss / 1e6, 1),
         "unpacked_mb": unpacked_mb(root),
-        "children": len(running.children(recursive=True)) + ended,
+        "children": len(running.children(recursive=True)) + ended_children,
     }
     await program.stop()
     return result
 
 
 async def main() -> int:
-    """Measures a first and a second start and prints one JSON line for each."""
+    """Measures a first and a second start and prints a line with JSON for each."""
     with tempfile.TemporaryDirectory(prefix="hornbeamramp-") as name:
         directory = Path(name)
         arguments = ["hornbeamramp.standins.platform", "--address", "127.0.0.1:0"]
