--- a/tests/builders.py
+++ b/tests/builders.py
@@ -17,7 +17,7 @@
 
 
 def make_job(name, kind=BatchJob, team="t", route="r", run=1.0, **fields):
-    """Returns a job; a ``deadline`` is in seconds."""
+    """Returns a job; ``run`` and ``deadline`` are in seconds."""
     fields.setdefault("resources", SMALL)
     if fields.get("deadline") is not None:
         fields["deadline"] = timedelta(seconds=fields["deadline"])
@@ -37,7 +37,7 @@
 
 
 def make_scheduler(clock, shapes=2, quotas=None, policy="default", **options):
-    """Returns a scheduler with so many machines, or with the given shapes."""
+    """Returns a scheduler with ``shapes`` upstreams of the default shape, or with these shapes."""
     scheduler = ShardScheduler(Pool(PoolName("p"), policy=policy), clock, quotas or {}, **options)
     if isinstance(shapes, int):
         shapes = [make_shape(f"u{i}") for i in range(shapes)]
@@ -51,7 +51,7 @@
 
 
 def fill(scheduler, count, prefix="fill", **fields):
-    """Starts so many bulk tasks and returns the starts."""
+    """Submits and starts ``count`` jobs, by default of band bulk, and returns their starts."""
     fields.setdefault("band", Band.BULK)
     for i in range(count):
         scheduler.submit(make_job(f"{prefix}{i}", **fields)).unwrap()
--- a/tests/simulation.py
+++ b/tests/simulation.py
@@ -1,4 +1,4 @@
-"""Event simulation of one shard, for tests of waiting times under load."""
+"""Discrete-event simulation of one shard, for tests of waiting times under load."""
 
 import heapq
 from collections import defaultdict
@@ -22,7 +22,17 @@
 
 
 class Kind:
-    """A kind of work: Poisson arrivals of jobs of one route. Times are in seconds."""
+    """A kind of work: jobs of one route that arrive as a Poisson process.
+
+    `rate`
+        Jobs per second, from `start` until `end`.
+    `run`
+        Declared run time; the actual one is uniform between half and one and a half times of it.
+    `kind`
+        Class of the jobs.
+
+    Times are in seconds.
+    """
 
     def __init__(
         self,
@@ -52,11 +62,14 @@
 
 
 class Simulation:
-    """Runs kinds of work on a pool of equal upstreams.
+    """Runs kinds of work on a pool of identical upstreams.
 
     `waits`
-        Seconds from submission to the first start of each job, by kind, with the time of
-        submission.
+        For each job, by kind: time of submission and seconds until its first start.
+    `refused`
+        Number of refused jobs by kind.
+    `preempted`
+        Number of preemptions by action: ``Stop``, ``Checkpoint`` or ``Throttle``.
     """
 
     def __init__(self, kinds, upstreams=20, seed=1, policy="default"):
@@ -82,12 +95,12 @@
     def run(self, until):
         now = 0.0
         while self.events and self.events[0][0] <= until:
-            # Calls within a millisecond are taken together, as an owner does.
+            # Events within a millisecond are handled before the next decision, as an owner does.
             now = self.events[0][0] + 0.001
             self.clock.set(timedelta(seconds=now))
             while self.events and self.events[0][0] <= now:
-                _, _, call, *arguments = heapq.heappop(self.events)
-                call(*arguments)
+                _, _, callback, *arguments = heapq.heappop(self.events)
+                callback(*arguments)
             for action in self.scheduler.decide(10_000):
                 self._apply(action, now)
         return self
@@ -95,9 +108,9 @@
     def mean_wait(self, name, since=0.0, until=float("inf")):
         return mean(wait for at, wait in self.waits[name] if since <= at < until)
 
-    def _schedule(self, at, call, *arguments):
+    def _schedule(self, at, callback, *arguments):
         self.sequence += 1
-        heapq.heappush(self.events, (at, self.sequence, call, *arguments))
+        heapq.heappush(self.events, (at, self.sequence, callback, *arguments))
 
     def _schedule_arrival(self, kind, after):
         at = after + self.random_by_kind[kind.name].expovariate(kind.rate)
@@ -147,7 +160,7 @@
 
 
 def usual_kinds():
-    """Returns kinds of work that together take about 60% of 20 upstreams with 8 slots."""
+    """Returns kinds of work that together use about 60% of 20 upstreams with 8 slots each."""
     return [
         Kind("ticket", "scale", Band.URGENT, 60.0, 0.3),
         Kind("plate", "gate", Band.URGENT, 20.0, 0.5),
--- a/tests/standins/processes.py
+++ b/tests/standins/processes.py
@@ -1,4 +1,4 @@
-"""Starts stand-ins as processes."""
+"""Starts stand-ins as child processes."""
 
 import contextlib
 import signal
@@ -11,7 +11,7 @@
 
 @contextlib.contextmanager
 def standin_process(module: str, *arguments: str) -> Iterator[subprocess.Popen[str]]:
-    """Runs ``hornbeamramp.standins.MODULE``; ends it on leaving if it still runs."""
+    """Runs ``hornbeamramp.standins.MODULE``; kills it on exit if it is still running."""
     command = [sys.executable, "-m", f"hornbeamramp.standins.{module}", *arguments]
     with subprocess.Popen(command, stdout=subprocess.PIPE, text=True) as process:
         try:
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -1,4 +1,4 @@
-"""Tests of the load tool against a small caller API on loopback sockets."""
+"""Tests of the load generator against a minimal caller API on loopback sockets."""
 
 import asyncio
 import base64
@@ -49,12 +49,12 @@
     ],
 )
 def test_answer_is_classified(status, body, outcome):
-    """Guards against counting a wrong, partial or malformed answer as completed."""
+    """Guards against counting a wrong, incomplete or malformed response as completed."""
     assert classify(status, body, b"p", 2)[0] == outcome
 
 
 @contextlib.asynccontextmanager
-async def serving(handler):
+async def caller_api_server(handler):
     application = web.Application()
     application.add_routes([web.post("/v1/jobs", handler)])
     listener = Listener(application, "127.0.0.1:0", cancel_handlers=True)
@@ -66,7 +66,7 @@
 
 
 def test_each_job_due_is_counted_once(run):
-    """Guards against jobs that are sent without being counted, or the other way round."""
+    """Guards against jobs that are sent but not counted, or counted but not sent."""
     requests = []
 
     async def handle(request):
@@ -74,11 +74,11 @@
         requests.append((fields, request.headers))
         if fields["route"] == "refused":
             return web.json_response({"outcome": "not_run", "reason": "quota"}, status=503)
-        # The payload as it was sent: a text.
+        # The payload was sent as a JSON string; encoding it again gives the same text.
         return web.Response(body=completed(json.dumps(fields["payload"]).encode(), fields["tasks"]))
 
     async def scenario():
-        async with serving(handle) as address:
+        async with caller_api_server(handle) as address:
             routes = [
                 RouteLoad(name="gang", tasks=3, keyed=True),
                 RouteLoad(name="refused", weight=0.5),
@@ -99,13 +99,13 @@
 
 
 def test_jobs_beyond_the_concurrency_bound_are_counted_as_skipped(run):
-    """Guards against a tool that slows down with the server and hides its overload."""
+    """Guards against a generator that slows down with the server and hides its overload."""
 
     async def handle(request):
         await asyncio.Event().wait()
 
     async def scenario():
-        async with serving(handle) as address:
+        async with caller_api_server(handle) as address:
             plan = LoadPlan(
                 addresses=[address],
                 routes=[RouteLoad(name="r")],
@@ -130,7 +130,7 @@
 
 
 def test_route_argument():
-    """Guards against a misspelt field that leaves a route at its defaults."""
+    """Guards against a misspelt field that is ignored, so that the route keeps its defaults."""
     route = parse_route("imaging=0.5,tasks=2,run_ms=100,idempotent=false,keyed=true,memory_mib=7")
     assert route == RouteLoad(
         name="imaging",
@@ -154,7 +154,7 @@
         return web.Response(status=202, body=b"{}")
 
     async def scenario():
-        async with serving(handle) as address:
+        async with caller_api_server(handle) as address:
             process = await asyncio.create_subprocess_exec(
                 sys.executable,
                 "-m",
--- a/tests/standins/test_load_cell.py
+++ b/tests/standins/test_load_cell.py
@@ -1,4 +1,4 @@
-"""Tests of the load tool and the latency measurement against real entry processes."""
+"""Test of the load generator against real entry processes, and of the latency percentiles."""
 
 from hornbeamramp.standins.cell import LocalCell, WorkerSpec
 from hornbeamramp.standins.latency import percentile
@@ -11,8 +11,8 @@
 ]
 
 
-def test_load_tool_understands_the_caller_api(run):
-    """Guards against a tool that counts right answers as invalid, or wrong ones as completed."""
+def test_load_generator_classifies_responses_of_the_caller_api(run):
+    """Guards against responses of the real caller API that the generator classifies wrongly."""
 
     async def scenario():
         workers = [WorkerSpec(f"worker-{n}", "gebze", "tickets") for n in (1, 2)]
@@ -46,7 +46,7 @@
 
 
 def test_percentile():
-    """Guards against an off-by-one that hides the slowest request."""
+    """Guards against an off-by-one error that leaves the slowest request out."""
     values = [float(n) for n in range(1, 101)]
     assert (percentile(values, 0.5), percentile(values, 0.99)) == (50.0, 99.0)
     assert percentile([7.0], 0.99) == 7.0
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -14,7 +14,7 @@
 
 
 def test_process_prints_its_address_and_ends_on_sigterm(run):
-    """Guards against stand-ins left behind, or one that can't end while a watch waits."""
+    """Guards against a process that outlives SIGTERM, for example while a watch is pending."""
 
     async def scenario(address):
         client = HttpPlatform(address, 10 * SECOND, SystemClock())
@@ -34,7 +34,7 @@
 
 
 def test_rate_limit_refills_with_time(clock):
-    """Guards against a limit that lets a burst of more than one second's calls through."""
+    """Guards against idle time that accumulates tokens for more than one second of calls."""
     limit = RateLimit(2.0, clock)
     assert [limit.take() for _ in range(3)] == [True, True, False]
     clock.set(SECOND / 2)
--- a/tests/standins/test_upstream.py
+++ b/tests/standins/test_upstream.py
@@ -20,8 +20,10 @@
 
 
 def test_one_process_serves_several_workers(run):
-    """Guards against workers that share a shape, a log or faults, and a process that can't end
-    while a silent connection is open."""
+    """Guards against workers of one process that share a shape, a log or faults.
+
+    It also guards against a process that does not end while a silent connection is open.
+    """
 
     async def scenario(first, second):
         clients = [HttpUpstream(address, SECOND, SystemClock()) for address in (first, second)]
@@ -46,7 +48,7 @@
 
 
 def test_worker_settings():
-    """Guards against a misspelt setting that silently takes its default."""
+    """Guards against a misspelt setting that is ignored, so that its default applies."""
     text = "id=w1,address=127.0.0.1:9,rack=r2,processors=128,memory_mib=2,accelerators=8,slots=3,"
     text += "connections=4,speed=0.5,capabilities=fence+labels,usage_lag_ms=100"
     shape, address, lag = parse_worker(text)
--- a/tests/standins/test_worker_model.py
+++ b/tests/standins/test_worker_model.py
@@ -1,4 +1,4 @@
-"""Tests of the simulated worker, on a manual clock. Other tests take its log as the truth."""
+"""Tests of the simulated worker on a manual clock. Other tests rely on its log as ground truth."""
 
 from datetime import timedelta
 
@@ -40,7 +40,7 @@
 
 
 def test_run_time_is_divided_by_speed(worker, clock):
-    """Guards against tasks that end at another time than run / speed, or at the time of asking."""
+    """Guards against an end time other than run / speed, such as the time of the next query."""
     assert worker.start(request(A, payload=b"p")) is StartReply.STARTED
     clock.set(4.9 * SECOND)
     assert worker.result(A) is TaskState.RUNNING
@@ -52,7 +52,7 @@
 
 
 def test_capacity_is_never_exceeded(worker, clock):
-    """Guards against a worker that takes more than it has, or does not count the attempt."""
+    """Guards against a worker that exceeds its capacity, or does not count such an attempt."""
     assert worker.start(request(A, resources=Resources(3000, 1024, 1))) is StartReply.STARTED
     too_large = [Resources(1001), Resources(0, 3073), Resources(0, 0, 1), Resources(0, 0, 0, 3)]
     for resources in too_large:
@@ -69,7 +69,10 @@
 
 
 def test_task_stops_when_its_lease_ends(worker, clock):
-    """Guards against tasks of a dead owner that run on, or renewed ones that do not."""
+    """Guards against tasks that run on after their lease expired, or end despite a renewal.
+
+    The leases of a crashed owner's tasks are no longer renewed, so these tasks must end.
+    """
     worker.start(request(A, lease=2 * SECOND))
     worker.start(request(B, lease=2 * SECOND))
     clock.set(SECOND)
@@ -83,7 +86,7 @@
 
 
 def test_throttled_task_takes_longer_and_frees_capacity(worker, clock):
-    """Guards against a throttle without effect on run time or capacity."""
+    """Guards against throttling that changes neither run time nor free capacity."""
     worker.start(request(A, resources=Resources(4000, 1024)))
     clock.set(2.5 * SECOND)
     assert worker.throttle(A, Resources(1000, 1024))
@@ -92,8 +95,8 @@
     assert ("end", A, 12500.0, "finished") in events(worker)
 
 
-def test_standing_task_runs_until_stopped(worker, clock):
-    """Guards against services that end by themselves."""
+def test_service_task_runs_until_stopped(worker, clock):
+    """Guards against service tasks that end without a stop."""
     worker.start(request(A, lease=1000 * SECOND, standing=True))
     clock.set(900 * SECOND)
     assert worker.result(A) is TaskState.RUNNING
@@ -101,7 +104,7 @@
 
 
 def test_ended_tasks_are_listed_for_sixty_seconds(worker, clock):
-    """Guards against a second start of an attempt that ended, and an unbounded list."""
+    """Guards against a second start of an ended attempt, and against an unbounded task list."""
     worker.start(request(A))
     clock.set(65 * SECOND)
     assert [task.state for task in worker.list_tasks()] == [TaskState.SUCCEEDED]
@@ -125,7 +128,7 @@
 
 
 def test_usage_reports_lag(worker, clock):
-    """Guards against estimates that rely on usage known at once."""
+    """Guards against usage reports without delay, on which estimates could come to rely."""
     usage = Resources(500, 8192)
     simulated = {"simulate": {"run_ms": 20_000, "usage": usage}}
     worker.start(request(A, payload=msgspec.json.encode(simulated)))
@@ -142,7 +145,7 @@
 
 
 def test_payload_can_simulate_failure(worker, clock):
-    """Guards against faulty jobs that can't be told from faulty workers in tests."""
+    """Guards against a simulation that can't tell a failing job from a failing worker."""
     payload = b'{"simulate": {"run_ms": 2000, "fails": true}}'
     worker.start(request(A, payload=payload))
     worker.start(request(B, payload=b'{"simulate": "no"}'))
@@ -152,7 +155,7 @@
 
 
 def test_failing_worker_fails_tasks_fast(worker, clock):
-    """Guards against a simulation in which a broken worker is as slow as a sound one."""
+    """Guards against a broken worker whose tasks take as long to fail as healthy ones to run."""
     worker.fail_all = True
     worker.start(request(A))
     clock.set(SECOND)
--- a/tests/test_processes.py
+++ b/tests/test_processes.py
@@ -1,4 +1,4 @@
-"""Tests with real entry processes: kills, pauses longer than the lease, graceful shutdown."""
+"""Tests with real processes: killed and paused owners, graceful shutdown, store outages."""
 
 import asyncio
 import signal
@@ -54,7 +54,7 @@
 
 
 def test_a_running_job_survives_the_death_of_its_owner(cell, run):
-    """Guards against a running task that is lost or run twice when its owner is killed."""
+    """Guards against a running task that is lost or started twice when its owner is killed."""
 
     async def scenario():
         async with cell:
@@ -75,7 +75,7 @@
 
 
 def test_a_paused_owner_starts_nothing_after_its_lease(cell, run):
-    """Guards against two owners when a process is stopped for longer than its lease."""
+    """Guards against two active owners when a process is paused for longer than its lease."""
 
     async def scenario():
         async with cell:
@@ -99,7 +99,7 @@
 
 
 def test_a_graceful_shutdown_cuts_off_no_request(cell, run):
-    """Guards against lost answers when owners and entry processes are replaced one by one."""
+    """Guards against lost responses when an owner is shut down, as in a rolling restart."""
 
     async def scenario():
         async with cell:
@@ -118,7 +118,10 @@
 
 
 def test_idempotent_work_goes_on_while_the_store_is_down(cell, run):
-    """Guards against a placement that needs the store, and against accepting what can't last."""
+    """Guards against placements that need the store.
+
+    It also guards against accepting work that needs a durable record while the store is down.
+    """
 
     async def scenario():
         async with cell:
@@ -140,7 +143,7 @@
 
 
 def test_the_same_key_gets_the_same_answer_after_the_owner_died(cell, run):
-    """Guards against a second run of a settlement that a caller sends again."""
+    """Guards against a second run of a job that a caller retries with the same key."""
 
     async def scenario():
         async with cell:
@@ -161,7 +164,7 @@
 
 
 def test_a_new_entry_process_serves_without_the_store(cell, run):
-    """Guards against a replaced VM that is of no use for as long as the store is away."""
+    """Guards against a new VM that can't serve until a store outage ends."""
 
     async def scenario():
         async with cell:
@@ -177,7 +180,7 @@
 
 
 def test_requests_are_answered_while_their_owner_stays_paused(cell, run):
-    """Guards against callers that hang on the connection to a process that has stopped."""
+    """Guards against callers that hang on the connection to a paused process."""
 
     async def scenario():
         async with cell:
