--- a/hornbeamramp/http_client.py
+++ b/hornbeamramp/http_client.py
@@ -209,7 +209,7 @@
                 received += part
                 if len(received) > MAX_RESPONSE_BYTES:
                     raise aiohttp.ClientPayloadError(
-                        f"response is larger than {MAX_RESPONSE_BYTES} bytes"
+                        f"answer is larger than {MAX_RESPONSE_BYTES} bytes"
                     )
             return HttpReply(response.status, response.headers, bytes(received))
 
--- a/hornbeamramp/http_server.py
+++ b/hornbeamramp/http_server.py
@@ -36,7 +36,7 @@
             # The connection is closed without waiting for the rest of the body.
             self.stream.request_body = None
             self.stream.keep_alive = False
-            raise RequestTimeout("request body not received within the request timeout") from error
+            raise RequestTimeout("the body did not arrive in time") from error
 
 
 def new_app(name: str, limits: LimitSettings) -> Sanic:
--- a/hornbeamramp/platform/advice.py
+++ b/hornbeamramp/platform/advice.py
@@ -32,7 +32,7 @@
 
     async def ask(self, step: StepKey, workers: list[UpstreamId], timeout: timedelta) -> Advice:
         if self._client is None:
-            raise AdviceUnavailableError("no advice service is configured")
+            raise AdviceUnavailableError("there is no advice service")
         body = msgspec.json.encode({"step": str(step), "workers": workers})
         try:
             reply = await self._client.request("POST", "/advise", body, wait=timeout)
--- a/hornbeamramp/rpc.py
+++ b/hornbeamramp/rpc.py
@@ -205,7 +205,7 @@
     async def _handshake(self, address: str, timeout: timedelta, step: Step) -> None:
         reply = await self._call(address, self._hello, timeout, step, sent=False)
         if reply.version != messages.PROTOCOL_VERSION:
-            raise ProtocolError(step, address, f"peer has protocol version {reply.version}")
+            raise ProtocolError(step, address, f"peer speaks version {reply.version}")
         self._compatible_addresses.add(address)
 
     def _on_handshake_done(self, address: str, handshake: asyncio.Task[None]) -> None:
@@ -239,7 +239,7 @@
                 if task is not None and task.cancelling():
                     raise
                 # Another call closed the channel; the calling task itself was not cancelled.
-                message = f"{method}: the channel was closed before the reply arrived"
+                message = f"{method}: the connection was given up"
                 raise UnreachableError(step, address, message, sent) from error
         try:
             return self._decoder_by_type[type(request)].decode(data)
--- a/hornbeamramp/statestore/claim.py
+++ b/hornbeamramp/statestore/claim.py
@@ -148,9 +148,7 @@
                     break
                 existing = {k: i for k, i in conflict.item_by_key.items() if k != self._key}
                 if not existing:
-                    raise ClaimLostError(
-                        f"{self._key}: the store reported a conflict, but no key differs"
-                    ) from conflict
+                    raise ClaimLostError(f"{self._key}: conflict without cause") from conflict
                 self._end_outage()
                 raise KeysExistError(existing) from conflict
         self._end_outage()
@@ -174,9 +172,7 @@
         if item.revision == self._revision:
             return False
         if current.sequence != record.sequence:
-            raise ClaimLostError(
-                f"{self._key}: at unexpected sequence {current.sequence}"
-            ) from conflict
+            raise ClaimLostError(f"{self._key}: at sequence {current.sequence}") from conflict
         self._revision = item.revision
         return True
 
--- a/hornbeamramp/vm/caller_service.py
+++ b/hornbeamramp/vm/caller_service.py
@@ -102,13 +102,11 @@
         Raises `UnavailableError`; the job may be recorded then only if ``may_have_run`` is true.
         """
         if self._node.isolation.is_isolated:
-            return SubmitResult(
-                "this VM is isolated from the store and the other VMs", ISOLATED_RETRY_AFTER
-            )
+            return SubmitResult("this VM is cut off from the others", ISOLATED_RETRY_AFTER)
         if self._is_store_unavailable():
-            return SubmitResult("the store is unavailable", retry_delay(queue, spec))
+            return SubmitResult("the store can't be reached", retry_delay(queue, spec))
         if self._node.config is None:
-            return SubmitResult("no configuration loaded yet", CONFIG_RETRY_AFTER)
+            return SubmitResult("there is no configuration yet", CONFIG_RETRY_AFTER)
         version = self._node.config.version
         request = SubmitJobRequest(queue.pool, queue.name, version, job_id, spec)
         try:
@@ -161,9 +159,7 @@
             return CancelResult.CANCELLED
         # A former owner that has not noticed the takeover lacks the newest jobs.
         if await self._stored_phase(queue.pool, job_id) is not None:
-            raise UnavailableError(
-                "the job is recorded, but the VM that answered as the owner lacks it", False
-            )
+            raise UnavailableError("the job is known to another owner", False)
         return CancelResult.ABSENT
 
     async def pending(self, queue: Queue, max_wait: timedelta) -> int:
--- a/hornbeamramp/vm/relay.py
+++ b/hornbeamramp/vm/relay.py
@@ -159,13 +159,11 @@
     async def serve(self, request: RelayRequest) -> RelayReply:
         """Makes a call for another VM, only over the direct connection."""
         if not self._is_direct_available:
-            return RelayReply(
-                RelayOutcome.UNAVAILABLE, "the store is unreachable from the relaying VM"
-            )
+            return RelayReply(RelayOutcome.UNAVAILABLE, "the store can't be reached from here")
         return await self._call_direct(request)
 
     async def _call(self, request: RelayRequest, wait: timedelta) -> RelayReply:
-        reply = RelayReply(RelayOutcome.UNAVAILABLE, "the last direct call to the store failed")
+        reply = RelayReply(RelayOutcome.UNAVAILABLE, "the direct way failed lately")
         used_direct = self._is_direct_available or not self._relay_addresses()
         if used_direct:
             reply = await self._call_direct(request)
@@ -239,11 +237,7 @@
             await asyncio.wait({call, restored}, return_when=asyncio.FIRST_COMPLETED)
             if not call.done():
                 # If the relaying VM is unreachable too, the call would last until its time-out.
-                return RelayReply(
-                    RelayOutcome.UNAVAILABLE,
-                    "given up: the store is reachable directly again",
-                    True,
-                )
+                return RelayReply(RelayOutcome.UNAVAILABLE, "the direct way is back", True)
             reply = call.result()
         except SchedulerError as error:
             reply = RelayReply(RelayOutcome.UNAVAILABLE, str(error), True)
--- a/hornbeamramp/workload/model.py
+++ b/hornbeamramp/workload/model.py
@@ -125,14 +125,14 @@
     The error starts with the name of the field.
     """
     if not 1 <= len(job.steps) <= MAX_STEPS:
-        return Err(f"steps: {len(job.steps)} steps given, 1 to {MAX_STEPS} allowed")
+        return Err(f"steps: {len(job.steps)} steps, allowed are 1 to {MAX_STEPS}")
     for number, step in enumerate(job.steps):
         if step.count < 1:
             return Err(f"steps[{number}].count: must be at least 1")
         if min(step.processors_milli, step.memory_mib, step.accelerators) < 0:
             return Err(f"steps[{number}]: sizes must not be negative")
         if any(not 0 <= earlier < number for earlier in step.after):
-            return Err(f"steps[{number}].after: must refer only to earlier steps")
+            return Err(f"steps[{number}].after: names a step that is not an earlier one")
     if sum(step.count for step in job.steps) * job.occurrences > MAX_TASKS:
-        return Err(f"steps: more than {MAX_TASKS} tasks over all occurrences")
+        return Err(f"steps: more than {MAX_TASKS} tasks")
     return Ok(job)
