--- a/hornbeamramp/logs.py
+++ b/hornbeamramp/logs.py
@@ -58,7 +58,7 @@
     dropped; the next accepted line is preceded by one with the number of dropped lines.
     """
 
-    # About 5 s at the highest log rate seen (100 kB/s), small compared to a process's memory.
+    # Holds about 5 s of a peak log rate of 100 kB/s; small compared to the memory of a process.
     BUFFER_LIMIT_BYTES = 512 * 1024
 
     def __init__(self, descriptor: int, level: int = logbook.INFO) -> None:
--- a/hornbeamramp/platform/callers.py
+++ b/hornbeamramp/platform/callers.py
@@ -117,7 +117,12 @@
                 return _json(404, {"error": "the job id must be 16 hexadecimal digits"})
             return await self._handle_job(request, target, timeout)
         except UnavailableError as error:
-            _log.info("{} {}: {}", request.method, request.path, error)
+            _log.info(
+                "caller request {} {} could not be answered: {}",
+                request.method,
+                request.path,
+                error,
+            )
             if error.may_have_run:
                 return _json(504, {"error": str(error)})
             return _unavailable(str(error), timedelta(seconds=1))
--- a/hornbeamramp/policies/batch.py
+++ b/hornbeamramp/policies/batch.py
@@ -6,7 +6,7 @@
 
 __all__ = ["MAX_CANDIDATES", "place"]
 
-# In trials, more candidates did not reduce fragmentation further but slowed each decision down.
+# More candidates do not reduce fragmentation further but slow each decision down.
 MAX_CANDIDATES = 4
 
 
--- a/hornbeamramp/poolowner/lifecycle.py
+++ b/hornbeamramp/poolowner/lifecycle.py
@@ -117,7 +117,7 @@
         job.close(phase, self._owner.now_ms())
         self._journal.mark_dirty(job)
         elapsed_ms = job.ended_ms - job.record.accepted_ms
-        _log.info("{} {} after {} ms", job.record.job_id, phase.value, elapsed_ms)
+        _log.info("job {} {} after {} ms", job.record.job_id, phase.value, elapsed_ms)
         for attempt in list(job.attempts()):
             if attempt.phase is not AttemptPhase.RESERVED:
                 attempt.session.stop(attempt)
