--- a/tests/fleet/test_session.py
+++ b/tests/fleet/test_session.py
@@ -127,7 +127,7 @@
     async def scenario(harness):
         await harness.start(harness.attempt())
         await asyncio.sleep(1.0)
-        harness.worker.cut_from.add("vm0")
+        harness.worker.unreachable_from.add("vm0")
         await asyncio.sleep(4.0)
         assert harness.owner.ended == []
         await asyncio.sleep(6.0)
@@ -183,7 +183,7 @@
         harness.view.late_share = 1.0
         assert await harness.start(attempt) is None
         harness.worker.crash()
-        harness.worker.rebirth()
+        harness.worker.reboot()
         await asyncio.sleep(4.0)
         assert harness.owner.ended == [(attempt.name, RunOutcome.LOST)]
 
@@ -201,7 +201,7 @@
         spec = job(StepSpec(1, 1000, 100, estimate_ms=300))
         harness.fleet.spec_by_job[JobId("a" * 16)] = spec
         harness.worker.crash()
-        harness.worker.rebirth()
+        harness.worker.reboot()
         attempt = harness.attempt()
         await harness.start(attempt)
         await asyncio.sleep(4.0)
@@ -246,7 +246,7 @@
         await asyncio.sleep(1.0)
         harness.worker.crash()
         await asyncio.sleep(0.5)
-        harness.worker.rebirth()
+        harness.worker.reboot()
         attempt = harness.attempt(5)
         await harness.start(attempt)
         await asyncio.sleep(4.0)
@@ -264,7 +264,7 @@
 
     async def scenario(harness):
         harness.worker.crash()
-        harness.worker.rebirth()
+        harness.worker.reboot()
         attempt = harness.attempt()
         await harness.start(attempt)
         # The list after a stop shows the restart before the pending hold call has failed.
--- a/tests/model/cell.py
+++ b/tests/model/cell.py
@@ -40,12 +40,12 @@
 from tests.model.store import ModelStore, StoreView
 from tests.model.virtual_time import LoopClock
 
-__all__ = ["PATIENCE", "POOL", "ModelCell", "ModelVm", "job", "queue", "random_spec"]
+__all__ = ["POOL", "REQUEST_TIMEOUT", "ModelCell", "ModelVm", "job", "queue", "random_spec"]
 
 POOL = PoolName("tickets")
 CONFIG_KEY = "op/config"
 WORKER_PREFIX = "servers/"
-PATIENCE = timedelta(seconds=3)
+REQUEST_TIMEOUT = timedelta(seconds=3)
 
 
 def queue(
@@ -140,7 +140,7 @@
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
         self.handlers_by_address: dict[str, dict[type, Callable[[Any], Awaitable[Any]]]] = {}
-        self.silent: set[str] = set()
+        self.unreachable_addresses: set[str] = set()
 
 
 class ModelServer:
@@ -159,7 +159,10 @@
     async def call(self, address: str, request: Any, timeout: timedelta, step: Step) -> Any:
         network = self._network
         await network.clock.sleep(timedelta(milliseconds=1))
-        if {address, self._address} & network.silent or address not in network.handlers_by_address:
+        if {
+            address,
+            self._address,
+        } & network.unreachable_addresses or address not in network.handlers_by_address:
             await network.clock.sleep(timeout)
             raise UnreachableError(step, address, "no answer", sent=False)
         try:
@@ -167,7 +170,7 @@
                 reply = await network.handlers_by_address[address][type(request)](request)
         except Exception as error:
             raise UnreachableError(step, address, repr(error)) from error
-        if {address, self._address} & network.silent:
+        if {address, self._address} & network.unreachable_addresses:
             raise UnreachableError(step, address, "the answer was lost")
         return reply
 
@@ -200,7 +203,7 @@
     async def kill(self) -> None:
         """Ends the process: nothing that it had not sent is sent any more."""
         self.store.is_closed = self.workers.is_closed = True
-        self.cell.network.silent.add(self.address)
+        self.cell.network.unreachable_addresses.add(self.address)
         self.node._lease_task.cancel()
         await self.node._background.cancel()
         for owner in list(self.node.owner_by_pool.values()):
@@ -289,7 +292,7 @@
 
     async def start_vm(self, name: str) -> ModelVm:
         self._boots += 1
-        self.network.silent.discard(name)
+        self.network.unreachable_addresses.discard(name)
         vm = ModelVm(self, name, self._boots)
         self.vm_by_name[name] = vm
         await vm.node.start()
@@ -327,7 +330,7 @@
         vm = vm or next(iter(self.vm_by_name.values()))
         try:
             return await vm.service.submit(
-                self.queues[RouteName(queue_name)], identity, spec, PATIENCE
+                self.queues[RouteName(queue_name)], identity, spec, REQUEST_TIMEOUT
             )
         except UnavailableError:
             return None
@@ -335,7 +338,9 @@
     async def phase(self, job_id: str, vm: ModelVm | None = None) -> JobPhase | None:
         vm = vm or next(iter(self.vm_by_name.values()))
         queue_name = self.queue_by_job[JobId(job_id)]
-        return await vm.service.phase(self.queues[RouteName(queue_name)], JobId(job_id), PATIENCE)
+        return await vm.service.phase(
+            self.queues[RouteName(queue_name)], JobId(job_id), REQUEST_TIMEOUT
+        )
 
     async def wait_for_phase(
         self, job_id: str, phase: JobPhase, limit: float = 30.0, vm: ModelVm | None = None
--- a/tests/model/fleet.py
+++ b/tests/model/fleet.py
@@ -55,7 +55,7 @@
         self.name = name
         self.capacity = capacity
         self.is_up = True
-        self.cut_from: set[str] = set()
+        self.unreachable_from: set[str] = set()
         self._be_born()
 
     def _be_born(self) -> None:
@@ -66,7 +66,7 @@
         self.highest_by_task: dict[str, int] = {}
         self.ended: list[EndedRun] = []
         self.last_number = 0
-        self.has_ended = asyncio.Event()
+        self.run_ended = asyncio.Event()
         self.lease_timer: asyncio.TimerHandle | None = None
 
     @property
@@ -88,7 +88,7 @@
             if run.step.gang:
                 self.fleet.end_gang(run.order, RunOutcome.LOST)
 
-    def rebirth(self) -> None:
+    def reboot(self) -> None:
         self.is_up = True
         self._be_born()
 
@@ -98,7 +98,7 @@
         self.token = token
         return True
 
-    def extend(self, deadline_ms: int) -> None:
+    def extend_deadline(self, deadline_ms: int) -> None:
         limited = min(deadline_ms, self.clock_ms + HOLD_MAX_MS)
         self.deadline_ms = max(self.deadline_ms, limited)
         if self.lease_timer is not None:
@@ -116,7 +116,7 @@
     def start(self, order: StartOrder) -> StartReply:
         if not self.fence(order.token):
             return StartReply.FENCED
-        self.extend(order.deadline_ms)
+        self.extend_deadline(order.deadline_ms)
         if order.deadline_ms <= self.clock_ms:
             return StartReply.PAST_DEADLINE
         present = self.run_by_task.get(order.task)
@@ -174,8 +174,8 @@
         checkpoint = f"saved-{task}" if run.step.checkpointing else ""
         self.ended.append(EndedRun(self.last_number, task, number, how, checkpoint))
         self.fleet.note_end(self, run.order, how)
-        self.has_ended.set()
-        self.has_ended = asyncio.Event()
+        self.run_ended.set()
+        self.run_ended = asyncio.Event()
         if run.step.gang:
             self.fleet.end_gang(run.order, how)
 
@@ -192,7 +192,7 @@
         elapsed = self.fleet.clock.boot_time().total_seconds() - run.began
         return min(100.0 * elapsed / run.duration, 99.0) if run.is_working else 0.0
 
-    def forget(self, last_seen: int) -> None:
+    def acknowledge_ends(self, last_seen: int) -> None:
         for end in self.ended:
             if end.number <= last_seen:
                 self.fleet.note_forgotten(self, end)
@@ -348,7 +348,7 @@
             if seen.worker == worker.name and not seen.is_noted:
                 seen.has_lapsed = True
 
-    def judge_ends(self) -> None:
+    def check_repeated_starts(self) -> None:
         """Checks the starts against the ends that were noted then or later."""
         for at, worker, task, run in self.starts:
             noted = [e for e in self.ends if e.is_noted and e.task == task and e.at_s < at]
@@ -414,13 +414,13 @@
         if not target.fence(token):
             raise FencedError
         if deadline_ms is not None:
-            target.extend(deadline_ms)
-        target.forget(last_seen)
+            target.extend_deadline(deadline_ms)
+        target.acknowledge_ends(last_seen)
         born = target.boot_ms
         if wait and not target.ended:
             try:
                 async with asyncio.timeout(wait.total_seconds()):
-                    await target.has_ended.wait()
+                    await target.run_ended.wait()
             except TimeoutError:
                 pass
         reply = target.hold_reply()
@@ -448,7 +448,7 @@
         await self._wait_while_frozen()
         await self._fleet.clock.sleep(ANSWER_TIME)
         target = self._fleet.worker_by_name.get(worker.address)
-        if target is None or not target.is_up or self._vm in target.cut_from:
+        if target is None or not target.is_up or self._vm in target.unreachable_from:
             await self._no_answer(worker)
         assert target is not None
         if target.name != worker.worker:
--- a/tests/model/store.py
+++ b/tests/model/store.py
@@ -32,7 +32,7 @@
         self.revision = 1
         self.item_by_key: dict[str, Item] = {}
         self.history: list[Change] = []
-        self.forgotten = 0
+        self.compacted_revision = 0
         self._ttl_by_lease: dict[int, timedelta] = {}
         self._expiry_by_lease: dict[int, timedelta] = {}
         self._next_lease = 100
@@ -51,8 +51,8 @@
             self._remove(key)
             self._notify()
 
-    def forget_history(self) -> None:
-        self.forgotten = self.revision
+    def compact_history(self) -> None:
+        self.compacted_revision = self.revision
         self.history.clear()
         self._notify()
 
@@ -61,7 +61,7 @@
         for key in [k for k, item in self.item_by_key.items() if item.lease == lease]:
             self.remove(key)
 
-    def expire(self) -> None:
+    def expire_leases(self) -> None:
         now = self.clock.boot_time()
         for lease, expiry in list(self._expiry_by_lease.items()):
             if expiry <= now:
@@ -84,7 +84,7 @@
         self.revoke(lease)
 
     def commit(self, txn: Txn) -> int:
-        self.expire()
+        self.expire_leases()
         for key, revision in txn.revision_by_key.items():
             item = self.item_by_key.get(key)
             if (0 if item is None else item.revision) != revision:
@@ -150,8 +150,8 @@
         await self._reach()
         end = self._store.clock.boot_time() + wait
         while True:
-            self._store.expire()
-            if after < self._store.forgotten:
+            self._store.expire_leases()
+            if after < self._store.compacted_revision:
                 raise WatchGapError(prefix)
             changes = [
                 change
@@ -195,7 +195,7 @@
 
     async def renew_lease(self, lease: int) -> None:
         await self._reach()
-        self._store.expire()
+        self._store.expire_leases()
         self._store.renew_lease(lease)
 
     async def end_lease(self, lease: int) -> None:
@@ -209,7 +209,7 @@
         if self.is_down:
             await self._no_answer()
         await self._store.clock.sleep(self.delay)
-        self._store.expire()
+        self._store.expire_leases()
 
     async def _no_answer(self) -> None:
         await self._store.clock.sleep(CALL_TIMEOUT)
--- a/tests/platform/test_wire.py
+++ b/tests/platform/test_wire.py
@@ -99,7 +99,7 @@
         model.remove("p/a")
         reply = await client.watch("p/", start, timedelta(milliseconds=10))
         assert [change.item is None for change in reply.changes] == [False, True]
-        model.forget_history()
+        model.compact_history()
         with pytest.raises(WatchGapError):
             await client.watch("p/", start, timedelta(milliseconds=10))
 
@@ -139,7 +139,7 @@
         assert [(row.task, row.run) for row in reply.running] == [(TASK, 1)]
         assert reply.boot_ms == worker.boot_ms
         async with asyncio.timeout(5):
-            await worker.has_ended.wait()
+            await worker.run_ended.wait()
         reply = await client.hold(listing, 5, 0, None, NO_WAIT)
         assert [(end.task, end.outcome) for end in reply.ended] == [(TASK, RunOutcome.DONE)]
         assert (await client.hold(listing, 5, 1, None, NO_WAIT)).ended == ()
--- a/tests/platform/wire_server.py
+++ b/tests/platform/wire_server.py
@@ -51,7 +51,7 @@
 
 async def serve_store(store: ModelStore, host="127.0.0.1", page_size=2):
     async def handle(request):
-        store.expire()
+        store.expire_leases()
         body = json.loads(await request.read() or b"null")
         query = request.query
         path = request.path
@@ -96,7 +96,7 @@
     loop = asyncio.get_running_loop()
     end = loop.time() + int(query["wait-ms"]) / 1000
     while True:
-        store.expire()
+        store.expire_leases()
         changed = store.changed
         response, has_events = _events(store, query)
         left = end - loop.time()
@@ -109,7 +109,7 @@
 
 def _events(store, query):
     after = int(query["after"])
-    if after < store.forgotten:
+    if after < store.compacted_revision:
         return web.json_response({}, status=410), True
     events = []
     for change in store.history:
@@ -171,15 +171,15 @@
             return web.json_response({"clock-ms": worker.clock_ms})
         if request.path == "/pace":
             return web.json_response({"clock-ms": worker.clock_ms})
-        worker.forget(body["last-seen"])
+        worker.acknowledge_ends(body["last-seen"])
         if "deadline-ms" in body:
-            worker.extend(body["deadline-ms"])
-        born = worker.boot_ms
+            worker.extend_deadline(body["deadline-ms"])
+        initial_boot_ms = worker.boot_ms
         if body.get("wait-ms") and not worker.ended:
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(body["wait-ms"] / 1000):
-                    await worker.has_ended.wait()
-        if not worker.is_up or worker.boot_ms != born:
+                    await worker.run_ended.wait()
+        if not worker.is_up or worker.boot_ms != initial_boot_ms:
             _abort_connection(request)
         return web.json_response(_hold_body(worker))
 
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -134,7 +134,7 @@
     # Store and workers
 
     async def _compact_store_history(self) -> None:
-        self._cell.store.forget_history()
+        self._cell.store.compact_history()
 
     async def _revoke_keys(self) -> None:
         leases = {item.lease for item in self._cell.store.item_by_key.values() if item.lease}
@@ -150,7 +150,7 @@
             worker.crash()
             self._cell.link_by_worker[worker.name].reset()
             await self._sleep_randomly()
-            worker.rebirth()
+            worker.reboot()
             self._cell.write_worker_entry(worker.name)
 
     async def _drain_worker(self) -> None:
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -39,7 +39,7 @@
         callers, faults = Callers(cell, rng), Faults(cell, random.Random(seed + 1))
         await asyncio.gather(callers.run(seconds), faults.run(seconds))
         await callers.wait_for_ends(END_TIMEOUT_S)
-        cell.fleet.judge_ends()
+        cell.fleet.check_repeated_starts()
         # Lost start orders may leave a gang incomplete; the GANG rule holds only without faults.
         violations = [str(v) for v in cell.fleet.violations if v.rule != "GANG"]
         process_problems = [problem for vm in cell.vm_by_name.values() for problem in vm.problems]
--- a/tests/vm/test_cell.py
+++ b/tests/vm/test_cell.py
@@ -9,7 +9,7 @@
 from hornbeamramp.vm import CancelResult, UnavailableError
 from hornbeamramp.vm.node import CLAIM_CHECK_PERIOD
 from hornbeamramp.workload import JobPhase, StepSpec
-from tests.model.cell import PATIENCE, POOL, ModelCell, job
+from tests.model.cell import POOL, REQUEST_TIMEOUT, ModelCell, job
 from tests.model.virtual_time import run_in_virtual_time
 
 
@@ -19,7 +19,7 @@
     async def main():
         async with ModelCell(**options) as cell:
             await scenario(cell)
-            cell.fleet.judge_ends()
+            cell.fleet.check_repeated_starts()
             assert cell.fleet.violations == []
 
     run_in_virtual_time(main())
@@ -86,7 +86,7 @@
     async def scenario(cell):
         owner = await cell.wait_for_owner()
         token = owner.owner.token
-        owner.store.commit_delay = PATIENCE + timedelta(seconds=1)
+        owner.store.commit_delay = REQUEST_TIMEOUT + timedelta(seconds=1)
         assert await cell.submit("8" * 16, job()) is None
         owner.store.commit_delay = timedelta(0)
         await cell.wait_for_phase("8" * 16, JobPhase.COMPLETED)
@@ -111,7 +111,7 @@
         await cell.submit("d" * 16, job(StepSpec(4, 1000, 100, estimate_ms=60_000)))
         await cell.wait_for_phase("d" * 16, JobPhase.RUNNING)
         vm = next(iter(cell.vm_by_name.values()))
-        await vm.service.cancel(cell.queues["batch"], "d" * 16, PATIENCE)
+        await vm.service.cancel(cell.queues["batch"], "d" * 16, REQUEST_TIMEOUT)
         await asyncio.sleep(1.0)
         assert all(not worker.run_by_task for worker in cell.fleet.worker_by_name.values())
 
@@ -258,7 +258,7 @@
     async def scenario(cell):
         owner = await cell.wait_for_owner()
         owner.store.is_down = True
-        cell.network.silent.add(owner.address)
+        cell.network.unreachable_addresses.add(owner.address)
         await asyncio.sleep(3.0)
         former = owner.node.owner_by_pool.get("tickets")
         assert former is None or not former.may_order()
@@ -308,7 +308,7 @@
         worker = cell.fleet.worker_by_name["w0"]
         worker.crash()
         await asyncio.sleep(0.5)
-        worker.rebirth()
+        worker.reboot()
         cell.list_worker("w0")
         await cell.wait_for_phase("6" * 16, JobPhase.COMPLETED)
 
@@ -373,7 +373,7 @@
             reply = await cell.submit("9" * 16, job(), vm=other)
         former.store.is_down = False
         try:
-            outcome = await former.service.cancel(cell.queues["batch"], "9" * 16, PATIENCE)
+            outcome = await former.service.cancel(cell.queues["batch"], "9" * 16, REQUEST_TIMEOUT)
         except UnavailableError:
             return
         assert outcome is CancelResult.CANCELLED
@@ -417,7 +417,7 @@
     async def scenario(cell):
         vm = next(iter(cell.vm_by_name.values()))
         vm.store.is_down = True
-        cell.network.silent.add(vm.address)
+        cell.network.unreachable_addresses.add(vm.address)
         await asyncio.sleep(cut_s)
         cell.configure()
         vm.store.is_down = False
--- a/tests/vm/test_guarantees_under_faults.py
+++ b/tests/vm/test_guarantees_under_faults.py
@@ -8,7 +8,7 @@
 
 from hornbeamramp.vm import CancelResult, UnavailableError
 from hornbeamramp.workload import TERMINAL_PHASES, JobPhase
-from tests.model.cell import PATIENCE, ModelCell, random_spec
+from tests.model.cell import REQUEST_TIMEOUT, ModelCell, random_spec
 from tests.model.virtual_time import run_in_virtual_time
 
 SEEDS = range(24)
@@ -36,7 +36,7 @@
             self.crash_worker,
             self.cut_worker,
             self.delay_orders,
-            self.forget_history,
+            self.compact_history,
             self.drain_worker,
         ]
         end = self.cell.clock.boot_time() + timedelta(seconds=FAULT_TIME_S)
@@ -107,7 +107,7 @@
         if worker.is_up:
             worker.crash()
             await self.pause()
-            worker.rebirth()
+            worker.reboot()
             self.cell.list_worker(worker.name)
 
     async def cut_worker(self):
@@ -115,9 +115,9 @@
         disconnected_vms = (
             set(self.cell.vm_by_name) if self.rng.random() < 0.5 else {self.owner_name()}
         )
-        worker.cut_from |= disconnected_vms
+        worker.unreachable_from |= disconnected_vms
         await self.pause(9.0)
-        worker.cut_from -= disconnected_vms
+        worker.unreachable_from -= disconnected_vms
 
     async def delay_orders(self):
         vms = list(self.cell.vm_by_name.values())
@@ -127,8 +127,8 @@
         for vm in vms:
             vm.workers.late_share = 0.0
 
-    async def forget_history(self):
-        self.cell.store.forget_history()
+    async def compact_history(self):
+        self.cell.store.compact_history()
 
     async def drain_worker(self):
         name = self.rng.choice(sorted(self.cell.fleet.worker_by_name))
@@ -176,7 +176,7 @@
         # Without a definite answer the cancellation may have taken effect.
         self.cancelled.add(job_id)
         try:
-            outcome = await vm.service.cancel(self.cell.queues[queue], job_id, PATIENCE)
+            outcome = await vm.service.cancel(self.cell.queues[queue], job_id, REQUEST_TIMEOUT)
         except UnavailableError:
             return
         assert outcome is CancelResult.CANCELLED, f"{job_id} was accepted but is unknown"
@@ -192,7 +192,7 @@
         await asyncio.gather(callers.run(), faults.run())
         await cell.wait_for_owner()
         await settle(cell, callers)
-        cell.fleet.judge_ends()
+        cell.fleet.check_repeated_starts()
         # The rule for gangs applies only without faults: lost orders may leave a gang incomplete.
         assert [v for v in cell.fleet.violations if v.rule != "GANG"] == []
         return len(callers.accepted), len(cell.fleet.starts)
--- a/tests/vm/test_isolation.py
+++ b/tests/vm/test_isolation.py
@@ -82,7 +82,7 @@
             vm = next(v for v in cell.vm_by_name.values() if v is not owner)
             assert vm.node.is_ready
             vm.store.is_down = True
-            cell.network.silent.add(vm.address)
+            cell.network.unreachable_addresses.add(vm.address)
             await asyncio.sleep(1.5)
             assert not vm.node.is_ready
             before = cell.clock.boot_time()
@@ -91,7 +91,7 @@
             assert reply.retry_after >= timedelta(seconds=1)
             assert cell.clock.boot_time() - before < timedelta(milliseconds=50)
             vm.store.is_down = False
-            cell.network.silent.discard(vm.address)
+            cell.network.unreachable_addresses.discard(vm.address)
             await asyncio.sleep(1.5)
             assert vm.node.is_ready
 
