--- a/tests/model/cell.py
+++ b/tests/model/cell.py
@@ -1,4 +1,4 @@
-"""Several entry VMs with the model's store and workers, in one event loop of virtual time."""
+"""Simulated cell: entry VMs, the store and workers in one event loop with virtual time."""
 
 import asyncio
 import random
@@ -51,8 +51,8 @@
 def queue(
     name: str = "gate", priority: int = 0, advice: bool = True, decide_ms: float = 10.0
 ) -> Queue:
-    """Returns a queue of the pool, with the time in which the advice service decides."""
-    terms = AdviceTiming(
+    """Returns a queue of the pool. ``decide_ms`` is the decision time of its advice service."""
+    timing = AdviceTiming(
         timedelta(milliseconds=decide_ms), timedelta(milliseconds=0.2), timedelta(seconds=2)
     )
     return Queue(
@@ -65,28 +65,31 @@
         stretch=2.0,
         target=timedelta(seconds=1),
         timeout=timedelta(seconds=3),
-        advice=terms if advice else None,
+        advice=timing if advice else None,
     )
 
 
 def job(*steps: StepSpec, **fields: Any) -> JobSpec:
-    """Returns a job; by default with one step of one small task."""
+    """Returns a job, by default with one step of one small task."""
     return JobSpec("payload", steps or (StepSpec(1, 1000, 100),), **fields)
 
 
-def random_spec(luck: random.Random) -> JobSpec:
+def random_spec(rng: random.Random) -> JobSpec:
     """Returns a job of one or two steps, or of one gang."""
-    steps = [StepSpec(luck.randint(1, 5), 1000 * luck.randint(1, 3), 500, checkpointing=True)]
-    if luck.random() < 0.5:
-        steps.append(StepSpec(luck.randint(1, 4), 1000, 500, after=(0,), estimate_ms=1500))
-    if luck.random() < 0.3:
-        gang = StepSpec(luck.randint(2, 3), 2000, 500, luck.randint(1, 2), gang=True)
+    steps = [StepSpec(rng.randint(1, 5), 1000 * rng.randint(1, 3), 500, checkpointing=True)]
+    if rng.random() < 0.5:
+        steps.append(StepSpec(rng.randint(1, 4), 1000, 500, after=(0,), estimate_ms=1500))
+    if rng.random() < 0.3:
+        gang = StepSpec(rng.randint(2, 3), 2000, 500, rng.randint(1, 2), gang=True)
         steps = [gang]
     return job(*steps)
 
 
 class ModelAdvice(AdviceClient):
-    """Grants a fixed share of the workers for each step, with tickets that end."""
+    """Grants each step w0, w1 and a fixed share of the other workers.
+
+    Tickets expire after 2 s.
+    """
 
     def __init__(self, clock: Clock, share: float) -> None:
         self._clock = clock
@@ -95,14 +98,14 @@
         self.calls = 0
 
     def is_granted(self, step: str, worker: str) -> bool:
-        # Two workers may run everything, so that no step of these tests is impossible.
+        # w0 and w1 are granted to every step, so that no step is without a worker.
         return worker in ("w0", "w1") or random.Random(f"{step} {worker}").random() < self._share
 
     def is_valid(self, task: str, worker: str, ticket: str) -> bool:
         step = task.rpartition(".")[0]
-        name, _, until = ticket.partition("|")
+        name, _, expiry_s = ticket.partition("|")
         now = self._clock.boot_time().total_seconds()
-        return name == f"{step}@{worker}" and float(until) >= now
+        return name == f"{step}@{worker}" and float(expiry_s) >= now
 
     async def ask(self, step: StepKey, workers: list[UpstreamId], timeout: timedelta) -> Advice:
         self.calls += 1
@@ -110,9 +113,11 @@
             await self._clock.sleep(timeout)
             raise AdviceUnavailableError("no answer")
         await self._clock.sleep(timedelta(milliseconds=10))
-        until = self._clock.boot_time().total_seconds() + 2.0
-        granted = {w: f"{step}@{w}|{until}" for w in workers if self.is_granted(str(step), w)}
-        return Advice(granted, timedelta(seconds=2))
+        expiry_s = self._clock.boot_time().total_seconds() + 2.0
+        ticket_by_worker = {
+            w: f"{step}@{w}|{expiry_s}" for w in workers if self.is_granted(str(step), w)
+        }
+        return Advice(ticket_by_worker, timedelta(seconds=2))
 
 
 class ModelAdapter(Adapter):
@@ -135,7 +140,11 @@
 
 
 class ModelNetwork:
-    """Calls between VMs. A VM that is cut off or has ended doesn't answer."""
+    """Calls between VMs.
+
+    `unreachable_addresses`
+        VMs that are partitioned or have stopped: calls from and to them time out.
+    """
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -201,7 +210,7 @@
         return owner if owner is not None and owner.is_ready else None
 
     async def kill(self) -> None:
-        """Ends the process: nothing that it had not sent is sent any more."""
+        """Ends the process at once: messages not yet sent are lost."""
         self.store.is_closed = self.workers.is_closed = True
         self.cell.network.unreachable_addresses.add(self.address)
         self.node._lease_task.cancel()
@@ -214,9 +223,11 @@
     """A cell of VMs and workers.
 
     `vms`, `workers`
-        Their numbers. Workers have 8 cores, 8,000 MiB and 4 accelerators.
+        Numbers of VMs and workers. A worker has 8 cores, 8,000 MiB and 4 accelerators.
+    `granted`
+        Share of the workers except w0 and w1 that the advice service grants to each step.
     `size_by_vm`
-        Sizes of VMs that are not of size 1.
+        Relative sizes of the VMs whose size is not 1.
     """
 
     def __init__(
@@ -237,7 +248,7 @@
         self.network = ModelNetwork(self.clock)
         self.vm_by_name: dict[str, ModelVm] = {}
         self.queue_by_job: dict[JobId, str] = {}
-        self._boots = 0
+        self._boot_count = 0
         queues = (queue("gate"), queue("batch", 2, advice=False), queue("render", 1, decide_ms=500))
         self.queues = {q.name: q for q in queues}
         self.version = 0
@@ -263,7 +274,7 @@
         return self.advice.is_valid(task, worker, ticket)
 
     def configure(self) -> None:
-        """Writes the configuration as its next version."""
+        """Writes the configuration under a new version."""
         self.version += 3
         pools = {POOL: Pool(POOL)}
         config = ClusterConfig(self.version, dict(self.queues), pools)
@@ -275,7 +286,7 @@
         self.list_worker(name)
 
     def list_worker(self, name: str, draining: bool = False) -> None:
-        """Writes a worker's entry."""
+        """Writes a worker's entry to the store."""
         worker = self.fleet.worker_by_name[name]
         rack = f"rack{int(name[1:]) // 2}"
         listing = WorkerListing(
@@ -291,29 +302,32 @@
         self.store.put(f"{WORKER_PREFIX}{name}", msgspec.msgpack.encode(listing))
 
     async def start_vm(self, name: str) -> ModelVm:
-        self._boots += 1
+        self._boot_count += 1
         self.network.unreachable_addresses.discard(name)
-        vm = ModelVm(self, name, self._boots)
+        vm = ModelVm(self, name, self._boot_count)
         self.vm_by_name[name] = vm
         await vm.node.start()
         return vm
 
-    async def restart_vm(self, name: str, after: float) -> None:
-        """Kills a VM's process and starts another; one VM has one process at a time."""
+    async def restart_vm(self, name: str, delay_s: float) -> None:
+        """Kills a VM's process and starts another.
+
+        Does nothing while another restart is in progress: a VM has one process at a time.
+        """
         vm = self.vm_by_name[name]
         if vm.store.is_closed:
             return
         await vm.kill()
-        await asyncio.sleep(after)
+        await asyncio.sleep(delay_s)
         await self.start_vm(name)
 
     def owner_vm(self) -> ModelVm | None:
-        """Returns the VM whose claim is the latest."""
+        """Returns the running VM that owns the pool with the highest fencing token."""
         owners = [vm for vm in self.vm_by_name.values() if vm.owner and not vm.store.is_closed]
         return max(owners, key=lambda vm: vm.owner.token, default=None)
 
-    async def wait_for_owner(self, limit: float = 30.0) -> ModelVm:
-        async with asyncio.timeout(limit):
+    async def wait_for_owner(self, timeout_s: float = 30.0) -> ModelVm:
+        async with asyncio.timeout(timeout_s):
             while True:
                 vm = self.owner_vm()
                 if vm is not None and vm.owner.may_order():
@@ -323,7 +337,7 @@
     async def submit(
         self, job_id: str, spec: JobSpec, queue_name: str = "batch", vm: ModelVm | None = None
     ) -> SubmitResult | None:
-        """Submits at a VM; ``None`` stands for no definite answer."""
+        """Submits a job to a VM and returns the reply, or ``None`` without a definite answer."""
         identity = JobId(job_id)
         self.fleet.spec_by_job.setdefault(identity, spec)
         self.queue_by_job.setdefault(identity, queue_name)
@@ -343,11 +357,11 @@
         )
 
     async def wait_for_phase(
-        self, job_id: str, phase: JobPhase, limit: float = 30.0, vm: ModelVm | None = None
+        self, job_id: str, phase: JobPhase, timeout_s: float = 30.0, vm: ModelVm | None = None
     ) -> float:
-        """Returns the seconds until the job shows a phase."""
+        """Waits until the job is in a phase and returns the time waited in seconds."""
         started = self.clock.boot_time()
-        async with asyncio.timeout(limit):
+        async with asyncio.timeout(timeout_s):
             while True:
                 try:
                     if await self.phase(job_id, vm) is phase:
--- a/tests/model/fleet.py
+++ b/tests/model/fleet.py
@@ -1,4 +1,4 @@
-"""Workers as the platform's pages describe them, in memory; they note every broken promise."""
+"""In-memory workers that follow the platform's documentation and record every violation."""
 
 import asyncio
 import random
@@ -27,28 +27,32 @@
 
 __all__ = ["FleetView", "ModelFleet", "ModelWorker"]
 
-ANSWER_TIME = timedelta(milliseconds=2)
+CALL_LATENCY = timedelta(milliseconds=2)
 CALL_TIMEOUT = timedelta(milliseconds=300)
 HOLD_MAX_MS = 10_000
 GANG_TIMEOUT_S = 3.0
-STOP_S = 0.1
+STOP_DELAY_S = 0.1
 
 
 class ModelRun:
-    """A run on a worker. ``work_left`` is in seconds and stands still for an incomplete gang."""
+    """A run on a worker. A member of a gang works only once all members have started.
+
+    `duration`, `now`
+        Length of the run's work and time of its start, in seconds.
+    """
 
     def __init__(self, order: StartOrder, step: StepSpec, duration: float, now: float) -> None:
         self.order = order
         self.step = step
         self.duration = duration
-        self.began = now
+        self.started_s = now
         self.is_stopping = False
         self.is_working = not step.gang
         self.timer: asyncio.TimerHandle | None = None
 
 
 class ModelWorker:
-    """One worker. Its clock starts at its birth."""
+    """One worker. Its clock starts at zero at each boot."""
 
     def __init__(self, fleet: "ModelFleet", name: str, capacity: Resources) -> None:
         self.fleet = fleet
@@ -56,29 +60,32 @@
         self.capacity = capacity
         self.is_up = True
         self.unreachable_from: set[str] = set()
-        self._be_born()
+        self._boot()
 
-    def _be_born(self) -> None:
-        self.born = self.fleet.clock.boot_time()
+    def _boot(self) -> None:
+        self.booted_at = self.fleet.clock.boot_time()
         self.token = 0
         self.deadline_ms = 0
         self.run_by_task: dict[str, ModelRun] = {}
-        self.highest_by_task: dict[str, int] = {}
+        self.highest_run_by_task: dict[str, int] = {}
         self.ended: list[EndedRun] = []
-        self.last_number = 0
+        self.last_end_number = 0
         self.run_ended = asyncio.Event()
         self.lease_timer: asyncio.TimerHandle | None = None
 
     @property
     def boot_ms(self) -> int:
-        return int(self.born.total_seconds() * 1000) + 1
+        return int(self.booted_at.total_seconds() * 1000) + 1
 
     @property
     def clock_ms(self) -> int:
-        return int((self.fleet.clock.boot_time() - self.born).total_seconds() * 1000)
+        return int((self.fleet.clock.boot_time() - self.booted_at).total_seconds() * 1000)
 
     def crash(self) -> None:
-        """Ends all runs without a trace."""
+        """Ends all runs without recording their ends.
+
+        Members of their gangs that work on other workers end as ``GANG_BROKEN``.
+        """
         self.is_up = False
         runs = list(self.run_by_task.values())
         self.run_by_task.clear()
@@ -90,7 +97,7 @@
 
     def reboot(self) -> None:
         self.is_up = True
-        self._be_born()
+        self._boot()
 
     def fence(self, token: int) -> bool:
         if token < self.token:
@@ -99,17 +106,17 @@
         return True
 
     def extend_deadline(self, deadline_ms: int) -> None:
-        limited = min(deadline_ms, self.clock_ms + HOLD_MAX_MS)
-        self.deadline_ms = max(self.deadline_ms, limited)
+        capped_ms = min(deadline_ms, self.clock_ms + HOLD_MAX_MS)
+        self.deadline_ms = max(self.deadline_ms, capped_ms)
         if self.lease_timer is not None:
             self.lease_timer.cancel()
-        left = (self.deadline_ms - self.clock_ms) / 1000
+        remaining_s = (self.deadline_ms - self.clock_ms) / 1000
         loop = asyncio.get_running_loop()
-        self.lease_timer = loop.call_later(max(left, 0.0) + 0.001, self._check_lease)
+        self.lease_timer = loop.call_later(max(remaining_s, 0.0) + 0.001, self._end_runs_if_lapsed)
 
-    def _check_lease(self) -> None:
+    def _end_runs_if_lapsed(self) -> None:
         if self.clock_ms >= self.deadline_ms:
-            self.fleet.note_lapse(self)
+            self.fleet.record_lapse(self)
             for task in list(self.run_by_task):
                 self.end(task, RunOutcome.LAPSED)
 
@@ -119,40 +126,40 @@
         self.extend_deadline(order.deadline_ms)
         if order.deadline_ms <= self.clock_ms:
             return StartReply.PAST_DEADLINE
-        present = self.run_by_task.get(order.task)
-        if present is not None and present.order.run == order.run:
+        existing = self.run_by_task.get(order.task)
+        if existing is not None and existing.order.run == order.run:
             return StartReply.STARTED
-        if order.run <= self.highest_by_task.get(order.task, 0):
+        if order.run <= self.highest_run_by_task.get(order.task, 0):
             return StartReply.SUPERSEDED
-        self.fleet.judge_start(self, order)
+        self.fleet.check_start(self, order)
         step = self.fleet.step_of(order.task)
         now = self.fleet.clock.boot_time().total_seconds()
         run = ModelRun(order, step, self.fleet.duration(order.task, step), now)
         self.run_by_task[order.task] = run
-        self.fleet.judge_room(self)
+        self.fleet.check_capacity(self)
         if step.gang:
             run.timer = asyncio.get_running_loop().call_later(
                 GANG_TIMEOUT_S, self.end, order.task, RunOutcome.GANG_INCOMPLETE
             )
-            self.fleet.check_gang(order)
+            self.fleet.start_gang_if_complete(order)
         else:
-            self.work(run)
+            self.start_work(run)
         return StartReply.STARTED
 
-    def work(self, run: ModelRun) -> None:
-        """Begins the run's work, which ends it after its duration."""
+    def start_work(self, run: ModelRun) -> None:
+        """Starts a run's work. Only a long-running run that does not fail has no end of its own."""
         run.is_working = True
         if run.timer is not None:
             run.timer.cancel()
-        how = self.fleet.how_ends(self, run.order)
-        if run.step.long_running and how is RunOutcome.DONE:
+        outcome = self.fleet.planned_outcome(self, run.order)
+        if run.step.long_running and outcome is RunOutcome.DONE:
             run.timer = None
             return
         loop = asyncio.get_running_loop()
-        run.timer = loop.call_later(run.duration, self.end, run.order.task, how)
+        run.timer = loop.call_later(run.duration, self.end, run.order.task, outcome)
 
     def stop(self, task: str, run_number: int) -> None:
-        self.highest_by_task[task] = max(self.highest_by_task.get(task, 0), run_number)
+        self.highest_run_by_task[task] = max(self.highest_run_by_task.get(task, 0), run_number)
         run = self.run_by_task.get(task)
         if run is None or run.order.run > run_number or run.is_stopping:
             return
@@ -160,24 +167,24 @@
         if run.timer is not None:
             run.timer.cancel()
         loop = asyncio.get_running_loop()
-        run.timer = loop.call_later(STOP_S, self.end, task, RunOutcome.STOPPED)
+        run.timer = loop.call_later(STOP_DELAY_S, self.end, task, RunOutcome.STOPPED)
 
-    def end(self, task: str, how: RunOutcome) -> None:
+    def end(self, task: str, outcome: RunOutcome) -> None:
         run = self.run_by_task.pop(task, None)
         if run is None:
             return
         if run.timer is not None:
             run.timer.cancel()
         number = run.order.run
-        self.highest_by_task[task] = max(self.highest_by_task.get(task, 0), number)
-        self.last_number += 1
+        self.highest_run_by_task[task] = max(self.highest_run_by_task.get(task, 0), number)
+        self.last_end_number += 1
         checkpoint = f"saved-{task}" if run.step.checkpointing else ""
-        self.ended.append(EndedRun(self.last_number, task, number, how, checkpoint))
-        self.fleet.note_end(self, run.order, how)
+        self.ended.append(EndedRun(self.last_end_number, task, number, outcome, checkpoint))
+        self.fleet.record_end(self, run.order, outcome)
         self.run_ended.set()
         self.run_ended = asyncio.Event()
         if run.step.gang:
-            self.fleet.end_gang(run.order, how)
+            self.fleet.end_gang(run.order, outcome)
 
     def hold_reply(self) -> HoldReply:
         running = tuple(
@@ -189,13 +196,13 @@
     def _percent(self, run: ModelRun) -> float:
         if run.step.long_running:
             return 100.0
-        elapsed = self.fleet.clock.boot_time().total_seconds() - run.began
+        elapsed = self.fleet.clock.boot_time().total_seconds() - run.started_s
         return min(100.0 * elapsed / run.duration, 99.0) if run.is_working else 0.0
 
     def acknowledge_ends(self, last_seen: int) -> None:
         for end in self.ended:
             if end.number <= last_seen:
-                self.fleet.note_forgotten(self, end)
+                self.fleet.record_acknowledged_end(self, end)
         self.ended = [end for end in self.ended if end.number > last_seen]
 
 
@@ -205,8 +212,8 @@
     detail: str
 
 
-class SeenEnd(msgspec.Struct):
-    """An end of a run. It is noted once the scheduler has told the worker to forget it."""
+class ObservedEnd(msgspec.Struct):
+    """An end of a run, acknowledged once the scheduler has told the worker to discard it."""
 
     at_s: float
     worker: str
@@ -214,15 +221,17 @@
     task: str
     run: int
     outcome: RunOutcome
-    is_noted: bool = False
-    has_lapsed: bool = False
+    is_acknowledged: bool = False
+    has_lease_lapsed: bool = False
 
 
 class ModelFleet:
-    """All workers, the jobs that were submitted, and what was seen of their tasks.
+    """All workers, the jobs that were submitted, and the observed starts and ends of their tasks.
 
     `fails`
-        Tells how a run would end; DONE by default.
+        Returns whether a run of an order on a worker fails; by default none does.
+    `ticket_valid`
+        Returns whether a worker accepts a ticket for a task; by default it accepts all.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -231,7 +240,7 @@
         self.spec_by_job: dict[JobId, JobSpec] = {}
         self.violations: list[Violation] = []
         self.starts: list[tuple[float, str, str, int]] = []
-        self.ends: list[SeenEnd] = []
+        self.ends: list[ObservedEnd] = []
         self.done: set[str] = set()
         self.failed_by_task: dict[str, int] = {}
         self.max_attempts = 2
@@ -253,12 +262,12 @@
     def duration(self, task: str, step: StepSpec) -> float:
         return step.estimate_ms / 1000 if step.estimate_ms else self.duration_s
 
-    def how_ends(self, worker: ModelWorker, order: StartOrder) -> RunOutcome:
+    def planned_outcome(self, worker: ModelWorker, order: StartOrder) -> RunOutcome:
         return RunOutcome.FAILED if self.fails(worker.name, order) else RunOutcome.DONE
 
     # Gangs
 
-    def _gang(self, order: StartOrder) -> list[tuple[ModelWorker, ModelRun]]:
+    def _gang_members(self, order: StartOrder) -> list[tuple[ModelWorker, ModelRun]]:
         step_name = order.task.rpartition(".")[0]
         return [
             (worker, run)
@@ -267,49 +276,49 @@
             if task.rpartition(".")[0] == step_name and run.order.run == order.run
         ]
 
-    def check_gang(self, order: StartOrder) -> None:
-        members = self._gang(order)
+    def start_gang_if_complete(self, order: StartOrder) -> None:
+        members = self._gang_members(order)
         if len(members) == self.step_of(order.task).count:
             for worker, run in members:
-                worker.work(run)
+                worker.start_work(run)
 
-    def end_gang(self, order: StartOrder, how: RunOutcome) -> None:
-        for worker, run in self._gang(order):
-            if how is RunOutcome.DONE:
+    def end_gang(self, order: StartOrder, outcome: RunOutcome) -> None:
+        for worker, run in self._gang_members(order):
+            if outcome is RunOutcome.DONE:
                 worker.end(run.order.task, RunOutcome.DONE)
             elif run.is_working:
                 worker.end(run.order.task, RunOutcome.GANG_BROKEN)
 
-    # Judgement
+    # Checks of the guarantees
 
-    def _violate(self, rule: str, detail: str) -> None:
+    def _record_violation(self, rule: str, detail: str) -> None:
         self.violations.append(Violation(self.clock.boot_time().total_seconds(), rule, detail))
 
-    def judge_start(self, worker: ModelWorker, order: StartOrder) -> None:
+    def check_start(self, worker: ModelWorker, order: StartOrder) -> None:
         now = self.clock.boot_time().total_seconds()
         self.starts.append((now, worker.name, order.task, order.run))
         job_name, occurrence, step_number, _ = order.task.split(".")
         job = JobId(job_name)
         detail = f"{order.task} run {order.run} on {worker.name}"
         if job not in self.spec_by_job or job in self.refused:
-            self._violate("REFUSED", detail)
+            self._record_violation("REFUSED", detail)
             return
         spec = self.spec_by_job[job]
         if order.payload != spec.payload:
-            self._violate("UNASKED", detail)
+            self._record_violation("UNASKED", detail)
         if order.checkpoint not in ("", f"saved-{order.task}"):
-            self._violate("UNASKED checkpoint", detail)
+            self._record_violation("UNASKED checkpoint", detail)
         for other in self.worker_by_name.values():
             if other.is_up and order.task in other.run_by_task:
-                self._violate("TWICE", f"{detail}, at work on {other.name}")
+                self._record_violation("TWICE", f"{detail}, at work on {other.name}")
         for earlier in spec.steps[int(step_number)].after:
             for index in range(spec.steps[earlier].count):
                 if f"{job}.{occurrence}.{earlier}.{index}" not in self.done:
-                    self._violate("ORDER", f"{detail} before step {earlier}")
+                    self._record_violation("ORDER", f"{detail} before step {earlier}")
         if job in self.cancelled_at and now > self.cancelled_at[job] + 3.0:
-            self._violate("UNASKED", f"{detail} after it was cancelled")
+            self._record_violation("UNASKED", f"{detail} after it was cancelled")
 
-    def judge_room(self, worker: ModelWorker) -> None:
+    def check_capacity(self, worker: ModelWorker) -> None:
         used = [0, 0, 0]
         for run in worker.run_by_task.values():
             used[0] += 0 if run.step.fills else run.step.processors_milli
@@ -317,53 +326,63 @@
             used[2] += run.step.accelerators
         capacity = worker.capacity
         limit = (capacity.processors_milli, capacity.memory_mib, capacity.accelerators)
-        if any(u > room for u, room in zip(used, limit, strict=True)):
-            self._violate("LIMIT", f"{worker.name}: {used} of {limit}")
+        if any(amount > maximum for amount, maximum in zip(used, limit, strict=True)):
+            self._record_violation("LIMIT", f"{worker.name}: {used} of {limit}")
 
-    def note_end(self, worker: ModelWorker, order: StartOrder, how: RunOutcome) -> None:
+    def record_end(self, worker: ModelWorker, order: StartOrder, outcome: RunOutcome) -> None:
         now = self.clock.boot_time().total_seconds()
-        self.ends.append(SeenEnd(now, worker.name, worker.boot_ms, order.task, order.run, how))
+        self.ends.append(
+            ObservedEnd(now, worker.name, worker.boot_ms, order.task, order.run, outcome)
+        )
         step = self.step_of(order.task)
-        if how is RunOutcome.DONE:
+        if outcome is RunOutcome.DONE:
             self.done.add(order.task)
-        elif how is RunOutcome.FAILED and not step.long_running:
+        elif outcome is RunOutcome.FAILED and not step.long_running:
             self.failed_by_task[order.task] = self.failed_by_task.get(order.task, 0) + 1
-        elif how is RunOutcome.GANG_INCOMPLETE:
-            self._violate("GANG", f"{order.task} run {order.run} on {worker.name}")
+        elif outcome is RunOutcome.GANG_INCOMPLETE:
+            self._record_violation("GANG", f"{order.task} run {order.run} on {worker.name}")
 
-    def note_forgotten(self, worker: ModelWorker, end: EndedRun) -> None:
-        """An end counts as noted, unless the worker's lease has lapsed since."""
-        for seen in self.ends:
-            is_same = (seen.worker, seen.boot_ms, seen.task, seen.run) == (
+    def record_acknowledged_end(self, worker: ModelWorker, end: EndedRun) -> None:
+        """Marks an end as acknowledged, unless the worker's lease has lapsed since the end."""
+        for observed in self.ends:
+            is_same = (observed.worker, observed.boot_ms, observed.task, observed.run) == (
                 worker.name,
                 worker.boot_ms,
                 end.task,
                 end.run,
             )
-            if is_same and not seen.has_lapsed:
-                seen.is_noted = True
+            if is_same and not observed.has_lease_lapsed:
+                observed.is_acknowledged = True
 
-    def note_lapse(self, worker: ModelWorker) -> None:
-        for seen in self.ends:
-            if seen.worker == worker.name and not seen.is_noted:
-                seen.has_lapsed = True
+    def record_lapse(self, worker: ModelWorker) -> None:
+        for observed in self.ends:
+            if observed.worker == worker.name and not observed.is_acknowledged:
+                observed.has_lease_lapsed = True
 
     def check_repeated_starts(self) -> None:
-        """Checks the starts against the ends that were noted then or later."""
-        for at, worker, task, run in self.starts:
-            noted = [e for e in self.ends if e.is_noted and e.task == task and e.at_s < at]
-            if any(e.outcome is RunOutcome.DONE for e in noted):
-                self._violate("TWICE", f"{task} run {run} on {worker} at {at}, ended done before")
-            failed = sum(e.outcome is RunOutcome.FAILED for e in noted)
+        """Checks all starts against earlier ends, acknowledged before or after the start."""
+        for start_s, worker, task, run in self.starts:
+            acknowledged = [
+                end
+                for end in self.ends
+                if end.is_acknowledged and end.task == task and end.at_s < start_s
+            ]
+            if any(end.outcome is RunOutcome.DONE for end in acknowledged):
+                self._record_violation(
+                    "TWICE", f"{task} run {run} on {worker} at {start_s}, ended done before"
+                )
+            failed = sum(end.outcome is RunOutcome.FAILED for end in acknowledged)
             if failed >= self.max_attempts and not self.step_of(task).long_running:
-                self._violate("BUDGET", f"{task} run {run} on {worker} at {at}")
+                self._record_violation("BUDGET", f"{task} run {run} on {worker} at {start_s}")
 
 
 class FleetView(WorkerClient):
-    """One VM's way to the workers.
+    """One VM's client of the workers.
 
     `late_share`
-        Share of orders that get no answer and are carried out seconds later.
+        Share of orders that get no answer and are executed seconds later.
+    `frozen`
+        While this event is not set, calls block; ``None`` if the VM is not frozen.
     """
 
     def __init__(self, fleet: ModelFleet, vm: str, seed: str = "") -> None:
@@ -380,24 +399,24 @@
         target = await self._reach(worker)
         if not check():
             raise WorkerUnreachableError(Step.START, worker.worker, "not allowed", sent=False)
-        # A VM may freeze right after the check, with the order written but not on its way. Its
-        # connection does not outlive the worker's boot.
-        born = target.boot_ms
+        # A VM may freeze right after the check, with the order written but not yet sent. A reboot
+        # of the worker closes the connection, so the new boot never receives the order.
+        initial_boot_ms = target.boot_ms
         await self._wait_while_frozen()
-        if not target.is_up or target.boot_ms != born:
-            await self._no_answer(worker)
+        if not target.is_up or target.boot_ms != initial_boot_ms:
+            await self._time_out(worker)
         if not self._fleet.ticket_valid(order.task, worker.worker, order.ticket):
             return StartReply.TICKET_INVALID
         if self._random.random() < self.late_share:
-            self._later(target, lambda: target.start(order))
-            await self._no_answer(worker)
+            self._run_delayed(target, lambda: target.start(order))
+            await self._time_out(worker)
         return target.start(order)
 
     async def stop(self, worker: WorkerListing, task: str, run: int, token: int) -> None:
         target = await self._reach(worker)
         if self._random.random() < self.late_share:
-            self._later(target, lambda: target.fence(token) and target.stop(task, run))
-            await self._no_answer(worker)
+            self._run_delayed(target, lambda: target.fence(token) and target.stop(task, run))
+            await self._time_out(worker)
         if not target.fence(token):
             raise FencedError
         target.stop(task, run)
@@ -416,7 +435,7 @@
         if deadline_ms is not None:
             target.extend_deadline(deadline_ms)
         target.acknowledge_ends(last_seen)
-        born = target.boot_ms
+        initial_boot_ms = target.boot_ms
         if wait and not target.ended:
             try:
                 async with asyncio.timeout(wait.total_seconds()):
@@ -424,8 +443,8 @@
             except TimeoutError:
                 pass
         reply = target.hold_reply()
-        if await self._reach(worker) is not target or target.boot_ms != born:
-            await self._no_answer(worker)
+        if await self._reach(worker) is not target or target.boot_ms != initial_boot_ms:
+            await self._time_out(worker)
         return reply
 
     async def pace(
@@ -433,23 +452,23 @@
     ) -> None:
         await self._reach(worker)
 
-    def _later(self, target: ModelWorker, order: Callable[[], object]) -> None:
-        born = target.boot_ms
+    def _run_delayed(self, target: ModelWorker, action: Callable[[], object]) -> None:
+        initial_boot_ms = target.boot_ms
 
-        def carry_out() -> None:
-            if target.is_up and target.boot_ms == born:
-                order()
+        def run_if_same_boot() -> None:
+            if target.is_up and target.boot_ms == initial_boot_ms:
+                action()
 
-        asyncio.get_running_loop().call_later(self._random.uniform(2.0, 12.0), carry_out)
+        asyncio.get_running_loop().call_later(self._random.uniform(2.0, 12.0), run_if_same_boot)
 
     async def _reach(self, worker: WorkerListing) -> ModelWorker:
         if self.is_closed:
             await asyncio.Event().wait()
         await self._wait_while_frozen()
-        await self._fleet.clock.sleep(ANSWER_TIME)
+        await self._fleet.clock.sleep(CALL_LATENCY)
         target = self._fleet.worker_by_name.get(worker.address)
         if target is None or not target.is_up or self._vm in target.unreachable_from:
-            await self._no_answer(worker)
+            await self._time_out(worker)
         assert target is not None
         if target.name != worker.worker:
             raise InstanceMismatchError(worker.worker)
@@ -459,6 +478,6 @@
         if self.frozen is not None:
             await self.frozen.wait()
 
-    async def _no_answer(self, worker: WorkerListing) -> None:
+    async def _time_out(self, worker: WorkerListing) -> None:
         await self._fleet.clock.sleep(CALL_TIMEOUT)
         raise WorkerUnreachableError(Step.RUN, worker.worker, "no answer")
--- a/tests/model/store.py
+++ b/tests/model/store.py
@@ -1,4 +1,4 @@
-"""The platform's store as its pages describe it, in memory, with the faults that it may have."""
+"""In-memory store that follows the platform's documentation, with faults to inject."""
 
 import asyncio
 import random
@@ -20,12 +20,12 @@
 
 __all__ = ["ModelStore", "StoreView"]
 
-ANSWER_TIME = timedelta(milliseconds=4)
+CALL_LATENCY = timedelta(milliseconds=4)
 CALL_TIMEOUT = timedelta(milliseconds=800)
 
 
 class ModelStore:
-    """Items, leases and history. `StoreView` is one VM's connection to it."""
+    """Items, leases and the history of changes. `StoreView` is one VM's client of it."""
 
     def __init__(self, clock: Clock) -> None:
         self.clock = clock
@@ -40,7 +40,7 @@
         self.calls = 0
 
     def put(self, key: str, value: bytes, lease: int = 0) -> None:
-        """Writes without conditions, as the operator and the workers do."""
+        """Writes an item unconditionally, as operators and workers do."""
         self.revision += 1
         self._put(key, value, lease)
         self._notify()
@@ -57,7 +57,7 @@
         self._notify()
 
     def revoke(self, lease: int) -> None:
-        """Removes a lease's keys although the lease goes on."""
+        """Removes the keys of a lease without ending the lease."""
         for key in [k for k, item in self.item_by_key.items() if item.lease == lease]:
             self.remove(key)
 
@@ -88,8 +88,8 @@
         for key, revision in txn.revision_by_key.items():
             item = self.item_by_key.get(key)
             if (0 if item is None else item.revision) != revision:
-                found = [self.item_by_key.get(key) for key in txn.revision_by_key]
-                raise TxnConflictError({item.key: item for item in found if item is not None})
+                current = [self.item_by_key.get(key) for key in txn.revision_by_key]
+                raise TxnConflictError({item.key: item for item in current if item is not None})
         if any(put.lease and put.lease not in self._ttl_by_lease for put in txn.puts):
             raise LeaseLostError
         self.revision += 1
@@ -101,8 +101,8 @@
         return self.revision
 
     def _put(self, key: str, value: bytes, lease: int) -> None:
-        before = self.item_by_key.get(key)
-        created = self.revision if before is None else before.created
+        previous = self.item_by_key.get(key)
+        created = self.revision if previous is None else previous.created
         item = Item(key, value, self.revision, created, lease)
         self.item_by_key[key] = item
         self.history.append(Change(key, self.revision, item))
@@ -120,11 +120,11 @@
     """One VM's view of the store.
 
     `is_down`
-        Calls get no answer and have no effect.
+        Calls time out without any effect.
     `commit_delay`
-        Time that commits take beside the usual.
+        Extra latency of commits.
     `lost_share`, `late_share`
-        Share of commits that take effect without an answer, at once or seconds later.
+        Shares of commits that get no answer and take effect at once, or seconds later.
     """
 
     def __init__(self, store: ModelStore, seed: str = "") -> None:
@@ -133,7 +133,7 @@
         self.is_down = False
         self.lost_share = 0.0
         self.late_share = 0.0
-        self.delay = ANSWER_TIME
+        self.delay = CALL_LATENCY
         self.commit_delay = timedelta(0)
         self.is_closed = False
 
@@ -158,13 +158,13 @@
                 for change in self._store.history
                 if change.revision > after and change.key.startswith(prefix)
             ]
-            left = end - self._store.clock.boot_time()
-            if changes or left <= timedelta(0):
+            remaining = end - self._store.clock.boot_time()
+            if changes or remaining <= timedelta(0):
                 await self._reach()
                 return WatchReply(tuple(changes), self._store.revision)
             try:
-                # Leases are looked at only now and then, so a waiting watch looks too.
-                async with asyncio.timeout(min(left.total_seconds(), 0.1)):
+                # Leases expire only when a call checks them, so a waiting watch checks them too.
+                async with asyncio.timeout(min(remaining.total_seconds(), 0.1)):
                     await self._store.changed.wait()
             except TimeoutError:
                 continue
@@ -172,15 +172,15 @@
     async def commit(self, txn: Txn) -> int:
         await self._reach()
         await self._store.clock.sleep(self.commit_delay)
-        luck = self._random.random()
-        if luck < self.late_share:
+        draw = self._random.random()
+        if draw < self.late_share:
             asyncio.get_running_loop().call_later(
                 self._random.uniform(1.0, 6.0), self._commit_late, txn
             )
-            await self._no_answer()
+            await self._time_out()
         revision = self._store.commit(txn)
-        if luck < self.late_share + self.lost_share:
-            await self._no_answer()
+        if draw < self.late_share + self.lost_share:
+            await self._time_out()
         return revision
 
     def _commit_late(self, txn: Txn) -> None:
@@ -207,10 +207,10 @@
         if self.is_closed:
             await asyncio.Event().wait()
         if self.is_down:
-            await self._no_answer()
+            await self._time_out()
         await self._store.clock.sleep(self.delay)
         self._store.expire_leases()
 
-    async def _no_answer(self) -> None:
+    async def _time_out(self) -> None:
         await self._store.clock.sleep(CALL_TIMEOUT)
         raise StoreUnavailableError(Step.JOURNAL, "store", "no answer")
--- a/tests/model/virtual_time.py
+++ b/tests/model/virtual_time.py
@@ -1,4 +1,4 @@
-"""Event loop whose time jumps to the next timer, and the clock that reads it."""
+"""Event loop whose time jumps to the next timer, and a clock of that time."""
 
 import asyncio
 import selectors
@@ -10,11 +10,11 @@
 
 __all__ = ["LoopClock", "run_in_virtual_time"]
 
-START = datetime(2026, 1, 1, tzinfo=UTC)
+START_TIME = datetime(2026, 1, 1, tzinfo=UTC)
 
 
-class _JumpingSelector(selectors.SelectSelector):
-    """Reports no event, and moves the loop's time by the time it was to wait."""
+class _VirtualTimeSelector(selectors.SelectSelector):
+    """Reports no I/O events, and advances the loop's time by the requested timeout."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -22,25 +22,25 @@
 
     def select(self, timeout: float | None = None) -> list[Any]:
         if timeout is None:
-            raise RuntimeError("all tasks wait for something that can't happen")
+            raise RuntimeError("deadlock: all tasks are waiting and no timer is scheduled")
         self.elapsed += max(timeout, 0.0)
         return super().select(0)
 
 
 class _VirtualTimeLoop(asyncio.SelectorEventLoop):
     def __init__(self) -> None:
-        self._jumping = _JumpingSelector()
-        super().__init__(self._jumping)
+        self._virtual_selector = _VirtualTimeSelector()
+        super().__init__(self._virtual_selector)
 
     def time(self) -> float:
-        return self._jumping.elapsed
+        return self._virtual_selector.elapsed
 
 
 class LoopClock(Clock):
-    """Clock of the running virtual-time loop."""
+    """Clock that reads the time of the running event loop."""
 
     def now(self) -> datetime:
-        return START + self.boot_time()
+        return START_TIME + self.boot_time()
 
     def boot_time(self) -> timedelta:
         return timedelta(seconds=asyncio.get_running_loop().time())
@@ -50,6 +50,6 @@
 
 
 def run_in_virtual_time(coroutine: Coroutine[Any, Any, Any]) -> Any:
-    """Runs a coroutine on a loop of its own and returns its result."""
+    """Runs a coroutine on a new virtual-time loop and returns its result."""
     with asyncio.Runner(loop_factory=_VirtualTimeLoop) as runner:
         return runner.run(coroutine)
