--- a/tests/model/fleet.py
+++ b/tests/model/fleet.py
@@ -147,7 +147,7 @@
         return StartReply.STARTED
 
     def start_work(self, run: ModelRun) -> None:
-        """Starts a run's work. Only a long-running run that does not fail has no end of its own."""
+        """Starts a run's work. A long-running run that does not fail continues until stopped."""
         run.is_working = True
         if run.timer is not None:
             run.timer.cancel()
--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -12,7 +12,7 @@
 
 __all__ = ["Outcome", "run_seed"]
 
-# Covers the maximum wait of a task on an unseen worker (11 s), a takeover, and the tasks' work.
+# Covers a task's maximum wait for an unreachable worker (11 s), a takeover, and the tasks' runs.
 END_TIMEOUT_S = 60.0
 
 
