--- a/tests/soak/run.py
+++ b/tests/soak/run.py
@@ -12,7 +12,7 @@
 
 __all__ = ["Outcome", "run_seed"]
 
-# Covers the maximum wait of a task on an unseen worker (11 s), a takeover, and the tasks' work.
+# Covers a task's maximum wait for an unreachable worker (11 s), a takeover, and the tasks' runs.
 END_TIMEOUT_S = 60.0
 
 
@@ -39,7 +39,7 @@
         callers, faults = Callers(cell, rng), Faults(cell, random.Random(seed + 1))
         await asyncio.gather(callers.run(seconds), faults.run(seconds))
         await callers.wait_for_ends(END_TIMEOUT_S)
-        cell.fleet.judge_ends()
+        cell.fleet.check_repeated_starts()
         # Lost start orders may leave a gang incomplete; the GANG rule holds only without faults.
         violations = [str(v) for v in cell.fleet.violations if v.rule != "GANG"]
         process_problems = [problem for vm in cell.vm_by_name.values() for problem in vm.problems]
