--- a/hornbeamramp/bench/__init__.py
+++ b/hornbeamramp/bench/__init__.py
@@ -1,8 +1,8 @@
-"""Measurements of `hornbeamramp.scheduler.ShardScheduler` without sockets.
+"""Measurements of `hornbeamramp.scheduler.ShardScheduler`, most of them in simulation.
 
 Run as ``python -m hornbeamramp.bench [name ...]``. Tables of fleets and job mixes are in
-`_shapes`, the workload generator is `workload`, the event loop that drives the scheduler is
-`driver`, and each measurement has a module of its own.
+`_shapes`, the workload generator is `workload`, the discrete-event simulation that drives the
+scheduler is `driver`, and each measurement has its own module.
 """
 
 from hornbeamramp.bench.figures import Figure
--- a/hornbeamramp/bench/__main__.py
+++ b/hornbeamramp/bench/__main__.py
@@ -7,7 +7,7 @@
 
 from cyclopts import App, Parameter
 
-from hornbeamramp.bench.figures import Figure, Options, missed, render_json, render_table
+from hornbeamramp.bench.figures import Figure, Options, missed_goals, render_json, render_table
 from hornbeamramp.bench.registry import BASELINES, MEASUREMENTS, measure
 
 app = App(name="hornbeamramp.bench", help="Measurements of scheduling decisions.")
@@ -40,18 +40,18 @@
         sys.exit(f"no measurement {unknown[0]!r}; known: {', '.join(MEASUREMENTS)}")
     figures: list[Figure] = []
     for name in names or (() if plot else MEASUREMENTS):
-        began = time.monotonic()
-        found = measure(name, options)
-        figures += found
+        start_s = time.monotonic()
+        measured = measure(name, options)
+        figures += measured
         if not as_json:
-            print(render_table(found))
-            print(f"  ({name}: {time.monotonic() - began:.1f} s)", flush=True)
+            print(render_table(measured))
+            print(f"  ({name}: {time.monotonic() - start_s:.1f} s)", flush=True)
     if as_json:
         print(render_json(figures))
     elif figures:
-        ours = [f for f in missed(figures) if f.policy not in BASELINES]
-        print(f"\n{len(ours)} figures miss their goal")
-        for figure in ours:
+        non_baseline_misses = [f for f in missed_goals(figures) if f.policy not in BASELINES]
+        print(f"\n{len(non_baseline_misses)} figures miss their goal")
+        for figure in non_baseline_misses:
             print(f"  {figure.measurement}: {figure.case}: {figure.name} = {figure.value:.4g}")
     if plot is not None:
         from hornbeamramp.bench.plot import write_plots
--- a/hornbeamramp/bench/_shapes.py
+++ b/hornbeamramp/bench/_shapes.py
@@ -7,13 +7,14 @@
 __all__ = ["JOB_CLASSES", "SHAPES", "SPEEDS", "CellShape", "JobClass", "WorkerClass"]
 
 GIB = 1024
+"""One GiB in MiB."""
 
 SPEEDS = (0.7, 0.85, 1.0, 1.0, 1.15, 1.3)
-"""Relative speeds, assigned to the workers of a class in turn; the mean is 1.0."""
+"""Relative speeds, assigned to the workers of a class round-robin; the mean is 1.0."""
 
 
 class WorkerClass(msgspec.Struct, frozen=True):
-    """Workers of one kind. Memory in MiB."""
+    """A class of workers with the same resources."""
 
     name: str
     count: int
@@ -26,15 +27,15 @@
 
 
 class JobClass(msgspec.Struct, frozen=True):
-    """Jobs of one kind.
+    """Parameters from which the jobs of one class are generated.
 
     `run_ms`
-        Mean run time of a task on an upstream of speed 1.0, in milliseconds; for a service the
+        Mean run time of a task on an upstream of speed 1.0, in milliseconds; for a service, the
         mean time until its caller cancels it.
     `sigma`
         Standard deviation of the logarithm of the run time.
     `deadline_ms`
-        Milliseconds from submission, 0 for none.
+        Deadline in milliseconds from submission, 0 for none.
     """
 
     name: str
@@ -51,16 +52,16 @@
 
 
 class CellShape(msgspec.Struct, frozen=True):
-    """A fleet with its job mix.
+    """A fleet and its job mix.
 
     `mix`
-        Share of the task starts by job class; the shares are normalised.
+        Share of the task starts by job class; the shares need not add up to 1.
     `services`
-        Standing tasks by job class, as a share of the fleet's slots.
+        Running service tasks by job class, as a share of the fleet's slots.
     `starts_per_second`
         Rate of task starts, or 0 to derive it from ``load``.
     `load`
-        Offered load relative to the resource of the fleet that is used up first.
+        Offered load relative to the capacity of the fleet's scarcest resource.
     `limit_share`
         Each team's quota limit as a share of the fleet.
     """
--- a/hornbeamramp/bench/control.py
+++ b/hornbeamramp/bench/control.py
@@ -1,7 +1,8 @@
-"""Control cost of idle entry processes on loopback: processor time, memory, bytes, store calls.
+"""Overhead of idle entry processes on loopback: processor time, memory, traffic, store calls.
 
-Starts local cells that differ in one number each, so that base and slope can be told apart. Needs
-``ss`` of iproute2 for the bytes of each process's connections.
+Starts local cells that each change one size of the base cell, so that the fixed cost and the cost
+per unit can be separated. Requires ``ss`` of iproute2 to count the bytes of each process's
+connections.
 """
 
 import asyncio
@@ -21,9 +22,9 @@
 WINDOW_S = 20.0
 QUICK_WINDOW_S = 2.0
 
-CORE_GOAL_PERCENT = 4.7
+PROCESSOR_GOAL_PERCENT = 4.7
 MEMORY_GOAL_MIB = 32.0
-BYTES_GOAL = 9_000.0
+TRAFFIC_GOAL_BYTES_PER_S = 9_000.0
 
 ROUTE = {
     "name": "watcher",
@@ -46,9 +47,9 @@
         return f"{cell}, {self.tasks} tasks running" if self.tasks else cell
 
 
-BASE = CellSize(1, 2, 4)
+BASE_CELL = CellSize(1, 2, 4)
 CELLS = (
-    BASE,
+    BASE_CELL,
     CellSize(1, 8, 4),
     CellSize(3, 2, 4),
     CellSize(1, 2, 64),
@@ -57,7 +58,7 @@
 
 
 class Usage(msgspec.Struct, frozen=True):
-    """Use of one process over the window, per second; memory in MiB at its end."""
+    """Mean usage of one process over the window, with its resident memory at the end."""
 
     core_percent: float
     memory_mib: float
@@ -66,9 +67,9 @@
 
 
 def measure(options: Options) -> list[Figure]:
-    """Returns the use of an owner and of another entry process in each cell."""
+    """Returns the usage of the shard owner and the mean of the other entry processes, by cell."""
     window_s = QUICK_WINDOW_S if options.quick else WINDOW_S
-    cells = (BASE,) if options.quick else CELLS
+    cells = (BASE_CELL,) if options.quick else CELLS
     figures: list[Figure] = []
     for size in cells:
         owner, others = asyncio.run(_measure_cell(size, window_s))
@@ -78,12 +79,12 @@
 
 
 async def _measure_cell(size: CellSize, window_s: float) -> tuple[Usage, list[Usage]]:
-    names = [f"dc-{number}" for number in range(1, size.data_centres + 1)]
+    data_centre_names = [f"dc-{number}" for number in range(1, size.data_centres + 1)]
     workers = [
-        WorkerSpec(f"worker-{number}", names[0], "tickets", rack=f"rack-{number // 4}")
+        WorkerSpec(f"worker-{number}", data_centre_names[0], "tickets", rack=f"rack-{number // 4}")
         for number in range(size.workers)
     ]
-    async with LocalCell(names, size.entries, workers) as cell:
+    async with LocalCell(data_centre_names, size.entries, workers) as cell:
         await cell.put_tables([ROUTE])
         await cell.wait_serving()
         if size.tasks:
@@ -106,7 +107,7 @@
 
 
 async def _sample(cell: LocalCell) -> dict[str, tuple[float, int, dict[str, int], int]]:
-    """Returns processor seconds, resident bytes, bytes by connection, store calls by VM."""
+    """Returns, by VM, processor seconds, resident bytes, bytes by connection and store calls."""
     bytes_by_pid = _connection_bytes()
     status = (await cell.admin_client().status()).unwrap()
     calls = {row["vm"]: sum(row["store_calls"].values()) for row in status["processes"]}
@@ -125,28 +126,28 @@
 
 
 def _usage(before: tuple, after: tuple, window_s: float) -> Usage:
-    moved = sum(count - before[2].get(key, 0) for key, count in after[2].items())
+    transferred_bytes = sum(count - before[2].get(key, 0) for key, count in after[2].items())
     return Usage(
         core_percent=(after[0] - before[0]) / window_s * 100,
         memory_mib=after[1] / 2**20,
-        bytes_per_s=moved / window_s,
+        bytes_per_s=transferred_bytes / window_s,
         store_calls_per_s=(after[3] - before[3]) / window_s,
     )
 
 
 def _connection_bytes() -> dict[int, dict[str, int]]:
-    """Returns bytes sent plus received of each established TCP connection, by process."""
+    """Returns bytes sent plus received on each established TCP connection, by process ID."""
     command = ["ss", "-tinpHO", "state", "established"]
     output = subprocess.run(command, capture_output=True, check=True, text=True).stdout
-    result: dict[int, dict[str, int]] = {}
+    bytes_by_pid: dict[int, dict[str, int]] = {}
     for line in output.splitlines():
         pid = re.search(r"pid=(\d+)", line)
         if pid is None:
             continue
-        amounts = re.findall(r"bytes_(?:sent|received):(\d+)", line)
+        byte_counts = re.findall(r"bytes_(?:sent|received):(\d+)", line)
         addresses = " ".join(re.findall(r"[\d.\[\]:a-f]+:\d+", line)[:2])
-        result.setdefault(int(pid.group(1)), {})[addresses] = sum(map(int, amounts))
-    return result
+        bytes_by_pid.setdefault(int(pid.group(1)), {})[addresses] = sum(map(int, byte_counts))
+    return bytes_by_pid
 
 
 def _mean(usages: list[Usage]) -> Usage:
@@ -156,9 +157,9 @@
 
 def _figures(size: CellSize, role: str, usage: Usage) -> list[Figure]:
     rows = (
-        ("processor", usage.core_percent, "% of a core", CORE_GOAL_PERCENT),
+        ("processor", usage.core_percent, "% of a core", PROCESSOR_GOAL_PERCENT),
         ("memory", usage.memory_mib, "MiB", MEMORY_GOAL_MIB),
-        ("traffic", usage.bytes_per_s, "B/s", BYTES_GOAL),
+        ("traffic", usage.bytes_per_s, "B/s", TRAFFIC_GOAL_BYTES_PER_S),
         ("store calls", usage.store_calls_per_s, "1/s", None),
     )
     return [
--- a/hornbeamramp/bench/figures.py
+++ b/hornbeamramp/bench/figures.py
@@ -1,10 +1,10 @@
-"""Measured figures and how they are printed."""
+"""Measured figures and their output as JSON and as tables."""
 
 from collections.abc import Iterable
 
 import msgspec
 
-__all__ = ["Figure", "Options", "missed", "render_json", "render_table"]
+__all__ = ["Figure", "Options", "missed_goals", "render_json", "render_table"]
 
 
 class Options(msgspec.Struct, frozen=True):
@@ -28,7 +28,7 @@
     `policy`
         Placement policy, or empty if the value doesn't depend on one.
     `goal`
-        Goal as text, empty if there is none; ``met`` tells whether the value meets it.
+        Goal as text, empty if there is none; ``met`` is whether the value meets it.
     `detail`
         Whether the value is left out of the printed table (it is in the JSON output).
     """
@@ -49,7 +49,7 @@
     return msgspec.json.format(msgspec.json.encode(list(figures))).decode()
 
 
-def missed(figures: Iterable[Figure]) -> list[Figure]:
+def missed_goals(figures: Iterable[Figure]) -> list[Figure]:
     """Returns the figures that miss their goal."""
     return [f for f in figures if f.met is False]
 
@@ -61,26 +61,26 @@
 
 
 def render_table(figures: Iterable[Figure]) -> str:
-    """Returns a table for each case with a column for each policy; ``!`` marks a missed goal."""
+    """Returns one table per case with a column per policy; ``!`` marks a missed goal."""
     cases: dict[tuple[str, str], list[Figure]] = {}
     for figure in figures:
         if not figure.detail:
             cases.setdefault((figure.measurement, figure.case), []).append(figure)
     lines: list[str] = []
-    for (measurement, case), members in cases.items():
-        policies = list(dict.fromkeys(f.policy for f in members))
+    for (measurement, case), case_figures in cases.items():
+        policies = list(dict.fromkeys(f.policy for f in case_figures))
         rows: dict[tuple[str, str], dict[str, Figure]] = {}
-        for figure in members:
+        for figure in case_figures:
             rows.setdefault((figure.name, figure.unit), {})[figure.policy] = figure
         lines.append(f"\n== {measurement}: {case}")
         table = [["figure", *(p or "value" for p in policies), "unit", "goal"]]
-        for (name, unit), by_policy in rows.items():
+        for (name, unit), figure_by_policy in rows.items():
             cells = []
             for policy in policies:
-                found = by_policy.get(policy)
+                found = figure_by_policy.get(policy)
                 mark = "!" if found is not None and found.met is False else ""
                 cells.append("" if found is None else _number(found.value) + mark)
-            goal = next((f.goal for f in by_policy.values() if f.goal), "")
+            goal = next((f.goal for f in figure_by_policy.values() if f.goal), "")
             table.append([name, *cells, unit, goal])
         widths = [max(len(row[n]) for row in table) for n in range(len(table[0]))]
         for row in table:
--- a/hornbeamramp/bench/footprint.py
+++ b/hornbeamramp/bench/footprint.py
@@ -1,4 +1,4 @@
-"""Resident memory of a Python process after importing the libraries of the package in turn."""
+"""Resident memory of a Python process as it imports the package's libraries one by one."""
 
 import json
 import subprocess
@@ -26,9 +26,9 @@
     "cyclopts",
 )
 
-LIMIT_MIB = 32.0
+MEMORY_GOAL_MIB = 32.0
 
-_CHILD = """
+_CHILD_SCRIPT = """
 import importlib, json, sys
 def resident():
     with open("/proc/self/status") as status:
@@ -46,7 +46,7 @@
 
     Raises ``subprocess.CalledProcessError`` if a library can't be imported.
     """
-    command = [sys.executable, "-c", _CHILD, *libraries]
+    command = [sys.executable, "-c", _CHILD_SCRIPT, *libraries]
     done = subprocess.run(command, capture_output=True, check=True, text=True, timeout=60)
     return json.loads(done.stdout)
 
@@ -59,8 +59,12 @@
 
     def add(name: str, kib: float, column: str, goal: bool = False) -> None:
         mib = kib / 1024
-        text, met = (f"<= {LIMIT_MIB:.0f}", mib <= LIMIT_MIB) if goal else ("", None)
-        figures.append(Figure("footprint", "resident memory", name, mib, "MiB", column, text, met))
+        goal_text, met = (
+            (f"<= {MEMORY_GOAL_MIB:.0f}", mib <= MEMORY_GOAL_MIB) if goal else ("", None)
+        )
+        figures.append(
+            Figure("footprint", "resident memory", name, mib, "MiB", column, goal_text, met)
+        )
 
     add("interpreter", sizes[0], "cumulative")
     add("interpreter", sizes[0], "alone")
--- a/hornbeamramp/bench/registry.py
+++ b/hornbeamramp/bench/registry.py
@@ -1,4 +1,4 @@
-"""The measurements by name; a measurement's module is imported when it is first run."""
+"""Measurements by name. The module of a measurement is imported when it is run."""
 
 from importlib import import_module
 
@@ -19,7 +19,7 @@
 
 
 BASELINES = ("fifo_first_fit", "random")
-"""Placement policies that each figure is printed beside."""
+"""Placement policies with which the default policy is compared."""
 
 
 def measure(name: str, options: Options) -> list[Figure]:
--- a/hornbeamramp/bench/runs.py
+++ b/hornbeamramp/bench/runs.py
@@ -1,4 +1,4 @@
-"""Runs of the driver with one policy on one shape, singly or two at a time."""
+"""Runs the driver with one policy on one shape, alone or in parallel processes."""
 
 import heapq
 from concurrent.futures import ProcessPoolExecutor
@@ -13,7 +13,7 @@
 from hornbeamramp.bench.tally import Observations
 from hornbeamramp.bench.workload import (
     EXACT,
-    SECOND,
+    SECOND_US,
     Misdeclaration,
     fleet,
     flood,
@@ -24,44 +24,45 @@
 from hornbeamramp.clock import ManualClock
 from hornbeamramp.scheduler import ShardScheduler
 
-__all__ = ["POLICIES", "Run", "new_driver", "run", "run_all", "violation_figures"]
+__all__ = ["POLICIES", "RunSpec", "new_driver", "run", "run_all", "violation_figures"]
 
 POLICIES = ("default", *BASELINES)
-"""The placement policy and its baselines."""
+"""The default placement policy and the baselines it is compared with."""
 
 MAX_PROCESSES = 2
 
 
-class Run(msgspec.Struct, frozen=True):
-    """One run. Times in seconds of simulated time.
+class RunSpec(msgspec.Struct, frozen=True):
+    """Parameters of one run; times are in seconds of simulated time.
 
-    `warm`, `window`, `drain`
-        Jobs that arrive in the window are counted; the run goes on for ``drain`` after it.
+    `warmup_s`, `window_s`, `drain_s`
+        Only jobs that arrive in the window are counted; the run continues for ``drain_s`` after it.
     `load`
         Overrides the load of the shape.
-    `off`
-        Factors by which declarations are off.
+    `misdeclaration`
+        Lowest and highest factor by which declarations differ from the actual values.
     `failing_every`
-        Each upstream whose number is divisible by this fails all its tasks; 0 for none.
-    `flooder`, `factor`
-        Job class that floods during the window, at ``factor`` times the fleet's capacity.
+        All tasks fail on each upstream whose number is divisible by this; 0 for none.
+    `flood_class`, `factor`
+        Job class submitted in excess during the window, at ``factor`` times the fleet's capacity;
+        an empty class for no flood.
     """
 
     shape: str
     policy: str
     seed: int
-    warm: float
-    window: float
-    drain: float
+    warmup_s: float
+    window_s: float
+    drain_s: float
     load: float | None = None
-    off: tuple[float, float] = EXACT
+    misdeclaration: tuple[float, float] = EXACT
     failing_every: int = 0
-    flooder: str = ""
+    flood_class: str = ""
     factor: float = 0.0
 
 
-def new_driver(spec: Run) -> Driver:
-    """Returns a driver with a new scheduler and no jobs yet."""
+def new_driver(spec: RunSpec) -> Driver:
+    """Returns a driver with a new scheduler and no jobs."""
     shape = SHAPES[spec.shape]
     clock = ManualClock()
     scheduler = ShardScheduler(pool(shape, spec.policy), clock, quotas(shape))
@@ -69,27 +70,36 @@
     failing = set()
     if spec.failing_every:
         failing = {u.id for n, u in enumerate(upstreams) if n % spec.failing_every == 0}
-    begin = int(spec.warm * SECOND)
-    end = begin + int(spec.window * SECOND)
+    window_start_us = int(spec.warmup_s * SECOND_US)
+    window_end_us = window_start_us + int(spec.window_s * SECOND_US)
     return Driver(
-        scheduler, clock, upstreams, failing=failing, count_from_us=begin, count_to_us=end
+        scheduler,
+        clock,
+        upstreams,
+        failing=failing,
+        count_from_us=window_start_us,
+        count_to_us=window_end_us,
     )
 
 
-def run(spec: Run) -> Observations:
-    """Runs ``spec`` and returns what was observed."""
+def run(spec: RunSpec) -> Observations:
+    """Runs ``spec`` and returns its observations."""
     shape = SHAPES[spec.shape]
-    begin = int(spec.warm * SECOND)
-    end = begin + int(spec.window * SECOND)
-    until = end + int(spec.drain * SECOND)
-    streams = [steady(shape, spec.seed, until, spec.load, Misdeclaration(*spec.off))]
-    if spec.flooder:
-        streams.append(flood(shape, spec.flooder, spec.factor, spec.seed, begin, end))
-    return new_driver(spec).run(heapq.merge(*streams, key=lambda work: work.arrival_us), until)
+    window_start_us = int(spec.warmup_s * SECOND_US)
+    window_end_us = window_start_us + int(spec.window_s * SECOND_US)
+    until_us = window_end_us + int(spec.drain_s * SECOND_US)
+    streams = [steady(shape, spec.seed, until_us, spec.load, Misdeclaration(*spec.misdeclaration))]
+    if spec.flood_class:
+        streams.append(
+            flood(shape, spec.flood_class, spec.factor, spec.seed, window_start_us, window_end_us)
+        )
+    return new_driver(spec).run(
+        heapq.merge(*streams, key=lambda sim_job: sim_job.arrival_us), until_us
+    )
 
 
-def run_all(specs: list[Run]) -> list[Observations]:
-    """Runs all specs, two at a time in processes of their own; results in the order of specs."""
+def run_all(specs: list[RunSpec]) -> list[Observations]:
+    """Runs all specs, up to two at a time in child processes; results keep the order of specs."""
     if len(specs) < 2:
         return [run(spec) for spec in specs]
     with ProcessPoolExecutor(MAX_PROCESSES) as executor:
@@ -99,7 +109,7 @@
 def violation_figures(
     measurement: str, case: str, policy: str, observed: Observations
 ) -> list[Figure]:
-    """Returns the number of breaches of guarantees, and one figure for each kind seen."""
+    """Returns the total number of guarantee violations and one figure per kind that occurred."""
     total = sum(observed.violations.values())
     rows = chain([("violations", total)], sorted(observed.violations.items()))
     return [
--- a/hornbeamramp/bench/tally.py
+++ b/hornbeamramp/bench/tally.py
@@ -1,4 +1,4 @@
-"""What a run of the driver observed, by job class, team and window of time."""
+"""Results of a run of the driver: counts and waits by job class and team."""
 
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
@@ -18,13 +18,13 @@
 
 @dataclass
 class ClassTally:
-    """Counts of one job class. Jobs count if they arrived in the counted window.
+    """Counts of one job class. Only jobs that arrived in the measurement window are counted.
 
     `waits`
-        Seconds from submission to the first start of each task. Tasks of admitted jobs that never
-        started contribute the time they had waited at the end of the run.
+        Seconds from submission to the first start of each task. Unstarted tasks of admitted,
+        unfinished jobs contribute the time they had waited at the end of the run.
     `running_us`
-        Task run time within the window, in microseconds.
+        Run time of tasks within the window, in microseconds.
     """
 
     submitted: int = 0
@@ -46,15 +46,22 @@
     """Result of a run.
 
     `violations`
-        Breaches of guarantees G1, G2, G4 and G5 seen by the fake upstreams, by kind.
+        Number of violations of guarantees G1 (no overcommitted machine), G2 (no task runs twice at
+        once), G4 (no start of a job reported as not run) and G5 (no restart of a non-idempotent
+        task) that the driver and its fake upstreams detected, by kind.
     `first_violation`
-        Text of the first breach, empty if there was none.
+        Text of the first violation, empty if there was none.
     `overuse_us`
         Run time of tasks that ended while the actual use of their upstream's processors or memory
-        exceeded what it has, in microseconds; ``busy_us`` is that of all tasks.
-    `used`
-        Mean share of each resource in use over the samples, in the order of
+        exceeded its capacity, in microseconds; ``busy_us`` is the run time of all ended tasks.
+    `allocated_shares`
+        Mean allocated share of each resource over the samples, in the order of
         `Resources.as_tuple`.
+    `stranded_accelerators`
+        Mean share of accelerators that are free but unusable because their machine lacks
+        another resource for the smallest accelerator task.
+    `waiting_gang_fits`
+        Share of the samples in which a waiting gang would have fitted into the free resources.
     """
 
     by_class: dict[str, ClassTally]
@@ -65,9 +72,9 @@
     starts_on_failing: int
     overuse_us: int
     busy_us: int
-    used: list[float]
+    allocated_shares: list[float]
     stranded_accelerators: float
-    idle_gang_room: float
+    waiting_gang_fits: float
     peak_queued: int
     completed_tasks: int
 
--- a/tests/bench/test_figures.py
+++ b/tests/bench/test_figures.py
@@ -1,4 +1,4 @@
-"""Printing, the command line and repeatability of figures."""
+"""Output, command line and reproducibility of figures."""
 
 import json
 import os
@@ -10,9 +10,9 @@
 
 from hornbeamramp.bench._shapes import SHAPES
 from hornbeamramp.bench.affinity import Model, simulate
-from hornbeamramp.bench.figures import Figure, Options, missed, render_json, render_table
-from hornbeamramp.bench.flood import kept
-from hornbeamramp.bench.packing import bounds
+from hornbeamramp.bench.figures import Figure, Options, missed_goals, render_json, render_table
+from hornbeamramp.bench.flood import kept_share
+from hornbeamramp.bench.packing import use_bounds
 from hornbeamramp.bench.registry import MEASUREMENTS, measure
 from hornbeamramp.bench.tally import ClassTally, percentile
 
@@ -29,7 +29,7 @@
 
 @pytest.mark.parametrize("name", ["wait", "packing"])
 def test_the_same_seed_gives_the_same_figures(name):
-    """Guards against figures that depend on hash order or on the time of day."""
+    """Guards against figures that depend on hash order or on the wall clock."""
     first = bench(name, "--quick", "--json", "--seed", "3", hash_seed="1")
     again = bench(name, "--quick", "--json", "--seed", "3", hash_seed="2")
     other = bench(name, "--quick", "--json", "--seed", "4", hash_seed="1")
@@ -39,7 +39,7 @@
 
 
 def test_each_policy_is_in_the_same_row():
-    """Guards against printing a figure without its baselines."""
+    """Guards against a table that does not show a figure next to those of its baselines."""
     figures = [
         Figure("wait", "kaya", "ticket p99", value, "s", policy, "<= 3.5", value <= 3.5)
         for policy, value in (("default", 4.25), ("random", 1.0))
@@ -47,19 +47,19 @@
     table = render_table(figures)
     row = next(line for line in table.splitlines() if "ticket p99" in line)
     assert row.split() == ["ticket", "p99", "4.25!", "1", "s", "<=", "3.5"]
-    assert missed(figures) == figures[:1]
+    assert missed_goals(figures) == figures[:1]
     assert msgspec.json.decode(render_json(figures), type=list[Figure]) == figures
 
 
 def test_details_are_only_in_the_json_output():
-    """Guards against tables with hundreds of rows by team."""
+    """Guards against printing tables with hundreds of per-team rows."""
     figure = Figure("wait", "kaya", "team-001 p99", 1.0, "s", detail=True)
     assert "team-001" not in render_table([figure])
     assert "team-001" in render_json([figure])
 
 
 def test_an_unknown_name_ends_the_command_with_an_error():
-    """Guards against a misspelt measurement that passes as done."""
+    """Guards against a misspelt measurement name that ends with success and measures nothing."""
     done = bench("wiat", "--quick")
     assert done.returncode == 1
     assert "no measurement 'wiat'" in done.stderr
@@ -69,37 +69,37 @@
 
 @pytest.mark.parametrize("name", sorted(set(MEASUREMENTS) - {"wait", "packing"}))
 def test_each_measurement_yields_figures(name):
-    """Guards against a measurement that breaks when the scheduler's interface changes."""
+    """Guards against a measurement that an interface change of the scheduler broke."""
     figures = measure(name, Options(seed=1, quick=True))
     assert figures
     assert {figure.measurement for figure in figures} == {name}
 
 
 def test_the_affinity_model_prefers_warm_workers():
-    """Guards against a model whose two placements don't differ in what they are meant to."""
-    model = Model(cold_ms=200.0, arrivals=2000)
-    assert simulate(model, True, 1).cold < simulate(model, False, 1).cold
+    """Guards against a warm-first placement that does not reduce the share of cold starts."""
+    model = Model(cold_start_ms=200.0, arrivals=2000)
+    assert simulate(model, True, 1).cold_start_share < simulate(model, False, 1).cold_start_share
     assert simulate(model, True, 1).waits == simulate(model, True, 1).waits
 
 
 def test_the_share_kept_is_relative_to_the_unflooded_run():
-    """Guards against judging services by completions, which they never have."""
-    ticket = kept("weigh_ticket", ClassTally(on_time=90), ClassTally(on_time=100))
-    watcher = kept("gate_watcher", ClassTally(running_us=50), ClassTally(running_us=200))
+    """Guards against comparing services by completed jobs, as services never complete."""
+    ticket = kept_share("weigh_ticket", ClassTally(on_time=90), ClassTally(on_time=100))
+    watcher = kept_share("gate_watcher", ClassTally(running_us=50), ClassTally(running_us=200))
     assert (ticket, watcher) == (0.9, 0.25)
-    assert kept("quote", ClassTally(), ClassTally(on_time=50)) == 0.0
+    assert kept_share("quote", ClassTally(), ClassTally(on_time=50)) == 0.0
     few = ClassTally(on_time=2, running_us=100)
-    assert kept("render", ClassTally(on_time=0, running_us=95), few) == 0.95
+    assert kept_share("render", ClassTally(on_time=0, running_us=95), few) == 0.95
 
 
 def test_the_bound_of_packing_uses_up_exactly_the_scarcest_resource():
-    """Guards against a bound that no scheduler could reach or that all exceed."""
+    """Guards against a bound that no scheduler can reach or that every scheduler exceeds."""
     for shape in SHAPES.values():
-        assert max(bounds(shape)) == pytest.approx(1.0)
+        assert max(use_bounds(shape)) == pytest.approx(1.0)
 
 
 def test_percentiles_count_the_worst_values():
-    """Guards against a p99 that leaves out the slowest hundredth."""
+    """Guards against a p99 that excludes the slowest 1% of the values."""
     values = [float(n) for n in range(1, 101)]
     assert percentile(values, 0.5) == 51.0
     assert percentile(values, 0.99) == 100.0
