--- a/hornbeamramp/fleet/session.py
+++ b/hornbeamramp/fleet/session.py
@@ -69,7 +69,7 @@
 
     def on_fenced(self, session: "WorkerSession") -> None: ...
 
-    async def recorded(self) -> None:
+    async def wait_recorded(self) -> None:
         """Waits until all reported ends are in the store. Raises ``TimeoutError``."""
 
 
@@ -337,7 +337,7 @@
         last_applied, boot_ms = self._last_applied, self._boot_ms
         try:
             async with asyncio.timeout(RECORD_TIMEOUT.total_seconds()):
-                await self._owner.recorded()
+                await self._owner.wait_recorded()
         except TimeoutError:
             return
         if self._boot_ms == boot_ms:
--- a/hornbeamramp/poolowner/journal.py
+++ b/hornbeamramp/poolowner/journal.py
@@ -89,7 +89,7 @@
         self._purged.append(job_id)
         self._wake.set()
 
-    async def recorded(self) -> None:
+    async def wait_recorded(self) -> None:
         """Returns once all changes marked so far are in the store. Raises `ClaimLostError`."""
         if self._claim_error is not None:
             raise self._claim_error
--- a/hornbeamramp/poolowner/launch.py
+++ b/hornbeamramp/poolowner/launch.py
@@ -163,7 +163,7 @@
         self._idle.clear()
         try:
             self._journal.mark_dirty(step.job)
-            await self._journal.recorded()
+            await self._journal.wait_recorded()
             _log.info(
                 "{} run {} placed on {}",
                 step.key,
--- a/hornbeamramp/poolowner/owner.py
+++ b/hornbeamramp/poolowner/owner.py
@@ -193,7 +193,7 @@
         self.is_ready = False
         await self._launcher.wait_idle()
         try:
-            await self._journal.recorded()
+            await self._journal.wait_recorded()
         except ClaimLostError as error:
             _log.info("{}: claim lost while the pool was released: {}", self.pool, error)
         await self._background.cancel()
@@ -250,9 +250,9 @@
     def on_fenced(self, session: WorkerSession) -> None:
         self.mark_lost(f"worker {session.worker} has seen a higher fencing token")
 
-    async def recorded(self) -> None:
+    async def wait_recorded(self) -> None:
         try:
-            await self._journal.recorded()
+            await self._journal.wait_recorded()
         except ClaimLostError as error:
             # Workers keep reporting these ends, so the next owner records them.
             raise TimeoutError(str(error)) from error
@@ -309,7 +309,7 @@
             return False
         if not job.is_ended:
             self.lifecycle.finish(job, JobPhase.CANCELLED)
-        await self._journal.recorded()
+        await self._journal.wait_recorded()
         return True
 
     def phase(self, job_id: JobId) -> JobPhase | None:
--- a/tests/fleet/test_session.py
+++ b/tests/fleet/test_session.py
@@ -45,7 +45,7 @@
     def on_fenced(self, session):
         self.is_fenced = True
 
-    async def recorded(self):
+    async def wait_recorded(self):
         await asyncio.sleep(0.01)
 
 
@@ -279,7 +279,7 @@
     async def recorded():
         await asyncio.sleep(seconds)
 
-    harness.owner.recorded = recorded
+    harness.owner.wait_recorded = recorded
 
 
 async def run_many(harness, count, pause=0.0):
