--- a/hornbeamramp/poolowner/journal.py
+++ b/hornbeamramp/poolowner/journal.py
@@ -75,7 +75,7 @@
         self._insert_by_id[job.record.job_id] = (job, future)
         self._wake.set()
 
-    async def inserted(self, job_id: JobId) -> None:
+    async def wait_inserted(self, job_id: JobId) -> None:
         """Returns once the record of an inserted job is in the store. Raises `ClaimLostError`."""
         _, future = self._insert_by_id[job_id]
         await asyncio.shield(future)
--- a/hornbeamramp/poolowner/owner.py
+++ b/hornbeamramp/poolowner/owner.py
@@ -292,7 +292,7 @@
             self._journal.insert(job)
             # Scheduled at once: the placement is committed together with the job or after it.
             self.lifecycle.open_due(job)
-        await self._journal.inserted(job_id)
+        await self._journal.wait_inserted(job_id)
         return None
 
     def _on_recorded(self, job: Job) -> None:
