--- a/hornbeamramp/callbacks.py
+++ b/hornbeamramp/callbacks.py
@@ -8,18 +8,18 @@
 from hornbeamramp.ids import Epoch, ShardId
 from hornbeamramp.shard_state import ShardState
 
-__all__ = ["Callbacks", "Gained", "Lost"]
+__all__ = ["Callbacks", "GainedCallback", "LostCallback"]
 
 log = logbook.Logger("owner")
 
-Gained = Callable[[ShardId, Epoch], Awaitable[None]]
-Lost = Callable[[ShardId], Awaitable[None]]
+GainedCallback = Callable[[ShardId, Epoch], Awaitable[None]]
+LostCallback = Callable[[ShardId], Awaitable[None]]
 
 
 class Callbacks:
     """Calls ``gained`` and ``lost`` in tasks. Their errors are logged and have no other effect."""
 
-    def __init__(self, gained: Gained, lost: Lost) -> None:
+    def __init__(self, gained: GainedCallback, lost: LostCallback) -> None:
         self._gained = gained
         self._lost = lost
 
--- a/hornbeamramp/ownership.py
+++ b/hornbeamramp/ownership.py
@@ -9,7 +9,7 @@
 
 import logbook
 
-from hornbeamramp.callbacks import Callbacks, Gained, Lost
+from hornbeamramp.callbacks import Callbacks, GainedCallback, LostCallback
 from hornbeamramp.claim import Claimer
 from hornbeamramp.clock import Clock
 from hornbeamramp.errors import (
@@ -40,7 +40,7 @@
 from hornbeamramp.shard_state import ShardState
 from hornbeamramp.states import ProofKind
 
-__all__ = ["Gained", "Lost", "Ownership", "ShardObserver", "UpstreamReport"]
+__all__ = ["GainedCallback", "LostCallback", "Ownership", "ShardObserver", "UpstreamReport"]
 
 log = logbook.Logger("owner")
 
@@ -76,8 +76,8 @@
         clock: Clock,
         timing: TimingSettings,
         shards: Callable[[], list[ShardId]],
-        gained: Gained,
-        lost: Lost,
+        gained: GainedCallback,
+        lost: LostCallback,
         observer: ShardObserver | None = None,
     ) -> None:
         self._membership = membership
