--- a/hornbeamramp/entry_parts.py
+++ b/hornbeamramp/entry_parts.py
@@ -159,10 +159,10 @@
         member = self.membership.by_id.get(vm)
         return member.peer_address if member is not None and member.peer_address else None
 
-    def beat_of(self, shard: ShardId) -> messages.ShardBeat | None:
+    def heartbeat_of(self, shard: ShardId) -> messages.ShardHeartbeat | None:
         """Returns the latest heartbeat entry of the shard."""
-        beat = self.membership.beat_of(shard)
-        return None if beat is None else beat[0]
+        shard_heartbeat = self.membership.heartbeat_of(shard)
+        return None if shard_heartbeat is None else shard_heartbeat[0]
 
     def _build_handlers(self) -> dict[type, Callable[[Any], Any]]:
         return {
@@ -178,8 +178,8 @@
             messages.StatusRequest: self.cluster_status.on_status,
         }
 
-    def _heartbeat_content(self) -> tuple[Revision, dict[ShardId, messages.ShardBeat]]:
-        return self.configuration.tables.revision, self.shards.beats()
+    def _heartbeat_content(self) -> tuple[Revision, dict[ShardId, messages.ShardHeartbeat]]:
+        return self.configuration.tables.revision, self.shards.heartbeats()
 
     def _local_shards(self) -> list[ShardId]:
         local = self.settings.data_centre
--- a/hornbeamramp/forwarding.py
+++ b/hornbeamramp/forwarding.py
@@ -22,7 +22,7 @@
     Misdirected,
     ResolveReply,
     ResolveRequest,
-    ShardBeat,
+    ShardHeartbeat,
     SubmitReply,
     SubmitRequest,
 )
@@ -68,7 +68,7 @@
     def address_of(self, vm: VmId) -> str | None:
         """Returns the peer address of a VM."""
 
-    def beat_of(self, shard: ShardId) -> ShardBeat | None:
+    def heartbeat_of(self, shard: ShardId) -> ShardHeartbeat | None:
         """Returns the latest heartbeat entry of the shard."""
 
 
@@ -110,7 +110,7 @@
             home = home_data_centre(job.key, sorted(data_centres))
             return await self._submit_to_home(job, shard_id(pool.name, home))
         shards = order_shards(
-            self._settings, pool.name, data_centres, job.band, self._directory.beat_of
+            self._settings, pool.name, data_centres, job.band, self._directory.heartbeat_of
         )
         refusal = self._refuse_by_expected_wait(job, shards)
         if refusal is not None:
@@ -137,10 +137,10 @@
             return None
         waits = []
         for shard in shards:
-            beat = self._directory.beat_of(shard)
-            if beat is None:
+            shard_heartbeat = self._directory.heartbeat_of(shard)
+            if shard_heartbeat is None:
                 return None
-            waits.append(beat.wait_by_band.get(job.band, timedelta(0)))
+            waits.append(shard_heartbeat.wait_by_band.get(job.band, timedelta(0)))
         shortest_wait = min(waits)
         if shortest_wait <= job.deadline:
             return None
--- a/hornbeamramp/membership.py
+++ b/hornbeamramp/membership.py
@@ -17,7 +17,7 @@
 )
 from hornbeamramp.ids import DataCentreId, LeaseId, Revision, ShardId, VmId
 from hornbeamramp.lease import ProcessLease
-from hornbeamramp.messages import Heartbeat, HeartbeatReply, ShardBeat
+from hornbeamramp.messages import Heartbeat, HeartbeatReply, ShardHeartbeat
 from hornbeamramp.peers import PeerCaller
 from hornbeamramp.platforms.base import Platform, WatchResult
 from hornbeamramp.settings import Settings
@@ -40,7 +40,7 @@
 # A member without a store record is removed after it has been silent for this long.
 FORGET_AFTER = timedelta(seconds=60)
 
-HeartbeatContent = Callable[[], tuple[Revision, dict[ShardId, ShardBeat]]]
+HeartbeatContent = Callable[[], tuple[Revision, dict[ShardId, ShardHeartbeat]]]
 
 
 class MemberRecord(msgspec.Struct, frozen=True):
@@ -77,7 +77,9 @@
     leaving: bool = False
     listed_leaving: bool = False
     revision: Revision = Revision(0)
-    beat_by_shard: dict[ShardId, ShardBeat] = {}
+    heartbeat_by_shard: dict[ShardId, ShardHeartbeat] = msgspec.field(
+        default_factory=dict, name="beat_by_shard"
+    )
 
 
 def member_key(data_centre: DataCentreId, vm: VmId) -> str:
@@ -171,19 +173,21 @@
         member = self.by_id.get(vm)
         return member.state if member else None
 
-    def beat_of(self, shard: ShardId) -> tuple[ShardBeat, VmId] | None:
+    def heartbeat_of(self, shard: ShardId) -> tuple[ShardHeartbeat, VmId] | None:
         """Returns the heartbeat entry of ``shard`` with the highest epoch, and its sender."""
         self._refresh_states()
-        best: tuple[ShardBeat, VmId] | None = None
-        local_beat_by_vm = {self.vm: self._heartbeat_content()[1].get(shard)}
+        best: tuple[ShardHeartbeat, VmId] | None = None
+        local_heartbeat_by_vm = {self.vm: self._heartbeat_content()[1].get(shard)}
         for vm, member in self.by_id.items():
-            beat = (
-                local_beat_by_vm[vm] if vm in local_beat_by_vm else member.beat_by_shard.get(shard)
+            shard_heartbeat = (
+                local_heartbeat_by_vm[vm]
+                if vm in local_heartbeat_by_vm
+                else member.heartbeat_by_shard.get(shard)
             )
-            if beat is None or member.state is MemberState.DEAD:
+            if shard_heartbeat is None or member.state is MemberState.DEAD:
                 continue
-            if best is None or beat.epoch > best[0].epoch:
-                best = (beat, vm)
+            if best is None or shard_heartbeat.epoch > best[0].epoch:
+                best = (shard_heartbeat, vm)
         return best
 
     def revision_by_vm(self) -> dict[VmId, Revision]:
@@ -211,7 +215,7 @@
             member.heard_at = self._clock.boot_time()
             member.revision = heartbeat.revision
             member.leaving = heartbeat.state is MemberState.LEAVING
-            member.beat_by_shard = heartbeat.shards
+            member.heartbeat_by_shard = heartbeat.shards
             for listener in self._heartbeat_listeners:
                 listener(heartbeat)
         return HeartbeatReply(self._heartbeat_content()[0], self._local_state())
--- a/hornbeamramp/messages.py
+++ b/hornbeamramp/messages.py
@@ -30,7 +30,7 @@
     "PromiseRequest",
     "ResolveReply",
     "ResolveRequest",
-    "ShardBeat",
+    "ShardHeartbeat",
     "StatusReply",
     "StatusRequest",
     "SubmitReply",
@@ -54,7 +54,7 @@
     data_centre: DataCentreId
 
 
-class ShardBeat(msgspec.Struct, frozen=True):
+class ShardHeartbeat(msgspec.Struct, frozen=True):
     """State of an owned shard in a heartbeat: epoch, serving or not, expected wait by band."""
 
     epoch: Epoch
@@ -69,7 +69,7 @@
     data_centre: DataCentreId
     state: MemberState
     revision: Revision
-    shards: dict[ShardId, ShardBeat] = {}
+    shards: dict[ShardId, ShardHeartbeat] = {}
     peer_address: str = ""
 
 
--- a/hornbeamramp/owner.py
+++ b/hornbeamramp/owner.py
@@ -27,7 +27,7 @@
     Misdirected,
     ResolveReply,
     ResolveRequest,
-    ShardBeat,
+    ShardHeartbeat,
     SubmitReply,
     SubmitRequest,
 )
@@ -244,10 +244,10 @@
         """Ensures that the store has the journal as this owner last wrote it."""
         await self._durable.check()
 
-    def beat(self) -> ShardBeat:
+    def heartbeat(self) -> ShardHeartbeat:
         """Returns the entry of this shard for the heartbeats of the process."""
         waits = {band: self.scheduler.expected_wait(band) for band in Band}
-        return ShardBeat(self.epoch, self._accepting and self._recovered.is_set(), waits)
+        return ShardHeartbeat(self.epoch, self._accepting and self._recovered.is_set(), waits)
 
     async def close(self) -> None:
         """Stops decisions and task renewals; waiting submits are told that the shard moves."""
--- a/hornbeamramp/ownership.py
+++ b/hornbeamramp/ownership.py
@@ -152,9 +152,11 @@
         if state is not None and state.epoch is not None:
             return self._membership.vm
         stored = self._record_by_id.get(shard)
-        beat = self._membership.beat_of(shard)
-        if stored is None or (beat is not None and beat[0].epoch > stored.record.epoch):
-            return beat[1] if beat is not None else None
+        shard_heartbeat = self._membership.heartbeat_of(shard)
+        if stored is None or (
+            shard_heartbeat is not None and shard_heartbeat[0].epoch > stored.record.epoch
+        ):
+            return shard_heartbeat[1] if shard_heartbeat is not None else None
         return None if stored.record.released else stored.record.owner
 
     # Running
@@ -230,10 +232,14 @@
             self._step_down(state, f"epoch {record.epoch} is owned by {record.owner}")
 
     def _on_heartbeat(self, heartbeat: Heartbeat) -> None:
-        for shard, shard_beat in heartbeat.shards.items():
+        for shard, shard_heartbeat in heartbeat.shards.items():
             state = self._shard_by_id.get(shard)
-            if state is not None and state.epoch is not None and shard_beat.epoch > state.epoch:
-                self._step_down(state, f"{heartbeat.vm} has epoch {shard_beat.epoch}")
+            if (
+                state is not None
+                and state.epoch is not None
+                and shard_heartbeat.epoch > state.epoch
+            ):
+                self._step_down(state, f"{heartbeat.vm} has epoch {shard_heartbeat.epoch}")
 
     def _state(self, shard: ShardId) -> ShardState:
         if shard not in self._shard_by_id:
@@ -330,8 +336,8 @@
         if state.stored is None or state.current_attempt() is not None:
             return True
         record = state.stored.record
-        beat = self._membership.beat_of(state.id)
-        if beat is not None and beat[0].epoch > record.epoch:
+        shard_heartbeat = self._membership.heartbeat_of(state.id)
+        if shard_heartbeat is not None and shard_heartbeat[0].epoch > record.epoch:
             return False
         if record.released or self._claimer.has_relinquished(state, record):
             return True
--- a/hornbeamramp/routing.py
+++ b/hornbeamramp/routing.py
@@ -4,7 +4,7 @@
 from datetime import timedelta
 
 from hornbeamramp.ids import DataCentreId, PoolName, ShardId, shard_id
-from hornbeamramp.messages import ShardBeat
+from hornbeamramp.messages import ShardHeartbeat
 from hornbeamramp.settings import Settings
 from hornbeamramp.states import Band
 
@@ -33,18 +33,19 @@
     pool: PoolName,
     data_centres: Iterable[DataCentreId],
     band: Band,
-    beat_of: Callable[[ShardId], ShardBeat | None],
+    heartbeat_of: Callable[[ShardId], ShardHeartbeat | None],
 ) -> list[ShardId]:
     """Returns the pool's shards in order of expected wait plus network delay, shortest first.
 
-    ``beat_of`` returns the latest heartbeat data of a shard. Ties go to the local data centre.
+    ``heartbeat_of`` returns the latest heartbeat entry of a shard. Ties go to the local data
+    centre.
     """
 
     def cost(data_centre: DataCentreId) -> tuple[timedelta, bool, str]:
-        beat = beat_of(shard_id(pool, data_centre))
+        shard_heartbeat = heartbeat_of(shard_id(pool, data_centre))
         wait = NO_OWNER_WAIT
-        if beat is not None and beat.serving:
-            wait = beat.wait_by_band.get(band, timedelta(0))
+        if shard_heartbeat is not None and shard_heartbeat.serving:
+            wait = shard_heartbeat.wait_by_band.get(band, timedelta(0))
         delay = network_delay(settings, data_centre)
         return wait + delay, data_centre != settings.data_centre, data_centre
 
--- a/hornbeamramp/shards.py
+++ b/hornbeamramp/shards.py
@@ -20,7 +20,7 @@
     Misdirected,
     ResolveReply,
     ResolveRequest,
-    ShardBeat,
+    ShardHeartbeat,
     SubmitReply,
     SubmitRequest,
 )
@@ -122,9 +122,9 @@
             for upstream_id in upstream_ids:
                 owner.set_leaving(upstream_id)
 
-    def beats(self) -> dict[ShardId, ShardBeat]:
+    def heartbeats(self) -> dict[ShardId, ShardHeartbeat]:
         """Returns the heartbeat entry of each shard."""
-        return {shard: owner.beat() for shard, owner in self.owner_by_shard.items()}
+        return {shard: owner.heartbeat() for shard, owner in self.owner_by_shard.items()}
 
     def status(self) -> list[dict[str, Any]]:
         """Returns the state of each shard for operators."""
--- a/tests/cell.py
+++ b/tests/cell.py
@@ -15,7 +15,7 @@
     HandOverRequest,
     Heartbeat,
     PromiseRequest,
-    ShardBeat,
+    ShardHeartbeat,
 )
 from hornbeamramp.ownership import Ownership
 from hornbeamramp.platforms.memory import MemoryPlatform
@@ -202,9 +202,9 @@
             asyncio.ensure_future(self.ownership.run()),
         ]
 
-    def _content(self) -> tuple[Revision, dict[ShardId, ShardBeat]]:
-        beats = {s: ShardBeat(e, True) for s, e in self.ownership.owned.items()}
-        return self.revision, beats
+    def _content(self) -> tuple[Revision, dict[ShardId, ShardHeartbeat]]:
+        heartbeats = {s: ShardHeartbeat(e, True) for s, e in self.ownership.owned.items()}
+        return self.revision, heartbeats
 
     async def _gained(self, shard: ShardId, epoch: Epoch) -> None:
         self.events.append(("gained", shard, epoch))
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -121,8 +121,8 @@
         await cell.advance(30 * SECOND)
         for process in local_processes:
             assert alive(process, TUZLA) == ["w", "x", "y", "z"]
-            beat, owner = process.membership.beat_of(remote_shard)
-            assert beat.epoch == 1 and cell.serving(remote_shard) == [owner]
+            shard_heartbeat, owner = process.membership.heartbeat_of(remote_shard)
+            assert shard_heartbeat.epoch == 1 and cell.serving(remote_shard) == [owner]
             assert process.ownership.owner_of(remote_shard) == owner
         sent_addresses = []
         original = cell.network.call
