--- a/hornbeamramp/demand.py
+++ b/hornbeamramp/demand.py
@@ -19,20 +19,20 @@
         Share in use now.
     `mean`, `variance`
         Mean and variance of the share in use while the flow was not backlogged.
-    `unit`
+    `max_task_share`
         Share of the largest task started.
     `capped`
         Part of ``share`` that is within the claim.
     """
 
-    __slots__ = ("capped", "mean", "share", "unit", "variance")
+    __slots__ = ("capped", "mean", "share", "max_task_share", "variance")
 
     def __init__(self) -> None:
         self.share = 0.0
         self.mean = 0.0
         self.variance = 0.0
         self.capped = 0.0
-        self.unit = 0.0
+        self.max_task_share = 0.0
 
     def claim(self) -> float:
         """Returns the share of the pool that covers the learned demand."""
@@ -55,7 +55,7 @@
         variance = (1 - weight) * (demand.variance + change * difference)
         # With Poisson arrivals, the number of running tasks has a variance equal to its mean. The
         # limit keeps one sudden rise, as at the start of a flood, from passing for high variance.
-        variance = min(variance, MAX_DISPERSION * demand.unit * (demand.mean + change))
+        variance = min(variance, MAX_DISPERSION * demand.max_task_share * (demand.mean + change))
         self.mean += change
         self.variance += variance - demand.variance
         demand.mean += change
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -107,10 +107,10 @@
 
     def add_use(self, flow: Flow, amount: Vector, now: float) -> None:
         """Counts a task as in use."""
-        flow.host.unit = max(flow.host.unit, self._host_share(amount))
+        flow.host.max_task_share = max(flow.host.max_task_share, self._host_share(amount))
         if amount[2]:
-            unit = amount[2] / (self.total[2] or 1)
-            flow.accelerators.unit = max(flow.accelerators.unit, unit)
+            task_share = amount[2] / (self.total[2] or 1)
+            flow.accelerators.max_task_share = max(flow.accelerators.max_task_share, task_share)
         self._change_use(flow, amount, 1, now)
 
     def remove_use(self, flow: Flow, amount: Vector, now: float) -> None:
