--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -313,7 +313,7 @@
             return None
         tried = 0
         for hold in self._holds.all:
-            if not hold.gang:
+            if not hold.is_gang:
                 continue
             for upstream_id in hold.count_by_id:
                 tried += 1
@@ -340,7 +340,7 @@
         for upstream_id in hold.count_by_id:
             for attempt in self._tasks.on_upstream(upstream_id):
                 attempt.overdue = attempt.stopping
-        if hold.gang and cooldown:
+        if hold.is_gang and cooldown:
             # Lets other jobs use the capacity before the gang may reserve it again.
             self._reserve_after[hold.state] = now + MIN_RESERVATION_S
         self.requeue(hold.state, hold.tasks)
@@ -380,7 +380,7 @@
                 self.enqueue_action(decision, attempt)
                 attempt.throttled_at = now
         self._add_hold(
-            Hold(state, tasks, upstream_ids, now, now + PREEMPTION_TIMEOUT_S, gang=False)
+            Hold(state, tasks, upstream_ids, now, now + PREEMPTION_TIMEOUT_S, is_gang=False)
         )
         return True
 
@@ -391,7 +391,7 @@
             return False
         urgent = state.job.band == Band.URGENT
         for hold in self._holds.all:
-            if hold.gang and (hold.state.job.band == Band.URGENT) == urgent:
+            if hold.is_gang and (hold.state.job.band == Band.URGENT) == urgent:
                 return False
         slots = predict_placements(self._pool, self._tasks, state, count, now)
         if len(slots) < count:
@@ -401,5 +401,5 @@
         duration = min(max(2 * (start_at - now), MIN_RESERVATION_S), MAX_RESERVATION_S)
         tasks = self._take_tasks(state, count)
         upstream_ids = [upstream_id for _, _, upstream_id in slots]
-        self._add_hold(Hold(state, tasks, upstream_ids, start_at, now + duration, gang=True))
+        self._add_hold(Hold(state, tasks, upstream_ids, start_at, now + duration, is_gang=True))
         return True
--- a/hornbeamramp/holds.py
+++ b/hornbeamramp/holds.py
@@ -24,7 +24,7 @@
         "amount",
         "count_by_id",
         "expires_at",
-        "gang",
+        "is_gang",
         "start_at",
         "state",
         "tasks",
@@ -37,7 +37,7 @@
         upstream_ids: list[UpstreamId],
         start_at: float,
         expires_at: float,
-        gang: bool,
+        is_gang: bool,
     ) -> None:
         self.state = state
         self.tasks = tasks
@@ -47,7 +47,7 @@
             self.count_by_id[upstream_id] = self.count_by_id.get(upstream_id, 0) + 1
         self.start_at = start_at
         self.expires_at = expires_at
-        self.gang = gang
+        self.is_gang = is_gang
         self.active = True
 
 
@@ -67,7 +67,7 @@
 
     def add(self, hold: Hold) -> None:
         self.all[hold] = None
-        self.gang_count += hold.gang
+        self.gang_count += hold.is_gang
         if hold.state.holds is None:
             hold.state.holds = []
         hold.state.holds.append(hold)
@@ -81,7 +81,7 @@
             return
         hold.active = False
         del self.all[hold]
-        self.gang_count -= hold.gang
+        self.gang_count -= hold.is_gang
         self._changed.pop(hold, None)
         if hold.state.holds is not None:
             hold.state.holds.remove(hold)
