--- a/hornbeamramp/job_lifecycle.py
+++ b/hornbeamramp/job_lifecycle.py
@@ -71,24 +71,24 @@
         # Jobs with a lost attempt, which end as unknown if their deadline passes in the queue.
         self._lost_jobs: set[JobId] = set()
         # Jobs whose acceptance is being recorded: they have no record yet, but may run.
-        self._in_acceptance: set[JobId] = set()
+        self._recording_acceptance: set[JobId] = set()
 
     def is_journal_merged(self) -> bool:
         """Returns whether journal and upstreams have been merged after the claim."""
         return self._journal_merged.is_set()
 
-    def is_in_acceptance(self, job_id: JobId) -> bool:
+    def is_recording_acceptance(self, job_id: JobId) -> bool:
         """Returns whether the acceptance of a job is being recorded."""
-        return job_id in self._in_acceptance
+        return job_id in self._recording_acceptance
 
     async def accept(self, job: Job) -> Result[JobRecord, NotRun | Unknown]:
         """Queues a job, after recording what must survive a change of owner."""
         if self._durable.needs_record(job):
-            self._in_acceptance.add(job.id)
+            self._recording_acceptance.add(job.id)
             try:
                 return await self._accept_durable(job)
             finally:
-                self._in_acceptance.discard(job.id)
+                self._recording_acceptance.discard(job.id)
         return self._enqueue(job)
 
     def cancel(self, record: JobRecord) -> None:
--- a/hornbeamramp/owner.py
+++ b/hornbeamramp/owner.py
@@ -202,7 +202,7 @@
         if record is None:
             if not self._jobs.is_journal_merged() or self._closed.is_set():
                 return ResolveReply(None)
-            if self._jobs.is_in_acceptance(request.job_id):
+            if self._jobs.is_recording_acceptance(request.job_id):
                 return ResolveReply(None)
             recorded = self._jobs.recorded_outcome(request.job_id)
             if recorded is not None:
