--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -162,7 +162,7 @@
         if upstream_id in health.quarantined and not attempt.probe:
             # Only the end of a probe counts here, but a job that fails here may be faulty.
             if end is TaskEnd.FAILED:
-                health.note_failed_on(upstream_id, job_id)
+                health.record_job_failure(upstream_id, job_id)
         elif end is TaskEnd.SUCCEEDED:
             changed = health.succeeded(upstream_id, now)
         elif is_failure:
--- a/hornbeamramp/upstream_health.py
+++ b/hornbeamramp/upstream_health.py
@@ -131,7 +131,7 @@
         self._schedule_probe(stats, now)
         return True
 
-    def note_failed_on(self, upstream_id: UpstreamId, job_id: JobId) -> None:
+    def record_job_failure(self, upstream_id: UpstreamId, job_id: JobId) -> None:
         """Records that a job failed on an upstream without counting it against the upstream."""
         self._failures_by_job.setdefault(job_id, {}).setdefault(upstream_id, None)
 
