--- a/hornbeamramp/job_queue.py
+++ b/hornbeamramp/job_queue.py
@@ -30,7 +30,7 @@
 # All further size classes of a flow share one lane, to bound the work per decision.
 MAX_LANES_PER_FLOW = 32
 # A lane is compacted when it has more cancelled entries than live ones plus this number.
-MAX_STALE_ENTRIES = 32
+MAX_EXTRA_STALE_ENTRIES = 32
 
 
 class JobQueue:
@@ -97,7 +97,7 @@
             return
         self._adjust_counts(lane, state, -state.pending)
         self._remove(state)
-        if len(lane.heap) > 2 * lane.live_entries + MAX_STALE_ENTRIES:
+        if len(lane.heap) > 2 * lane.live_entries + MAX_EXTRA_STALE_ENTRIES:
             lane.heap = [entry for entry in lane.heap if entry[2].lane is lane]
             heapq.heapify(lane.heap)
         if not lane.live_entries:
