--- a/hornbeamramp/standins/worker_task.py
+++ b/hornbeamramp/standins/worker_task.py
@@ -127,8 +127,8 @@
 
     def usage(self, at: timedelta) -> UsageReport:
         """Returns resource usage and progress (0 to 1) at boot time ``at``."""
-        standing = self.request.is_service or not self._work
-        progress = 0.0 if standing else min(self._work_at(at) / self._work, 1.0)
+        is_open_ended = self.request.is_service or not self._work
+        progress = 0.0 if is_open_ended else min(self._work_at(at) / self._work, 1.0)
         return UsageReport(self.request.attempt_id, self._simulation.usage, progress)
 
     def _finishes_at(self) -> timedelta:
