--- a/hornbeamramp/platform/callers.py
+++ b/hornbeamramp/platform/callers.py
@@ -106,16 +106,18 @@
         config = self._node.config
         if config is None:
             return _unavailable("no configuration yet", timedelta(seconds=1))
-        target = config.match(request.host.rpartition(":")[0] or request.host, request.path)
-        if target is None:
+        route_match = config.match(request.host.rpartition(":")[0] or request.host, request.path)
+        if route_match is None:
             return _json(404, {"error": "no such queue"})
         timeout = _caller_timeout(request)
         try:
-            if request.method == "GET" and not target.path_suffix:
-                return _json(200, {"pending": await self._service.pending(target.queue, timeout)})
-            if not JOB_ID.fullmatch(target.path_suffix):
+            if request.method == "GET" and not route_match.path_suffix:
+                return _json(
+                    200, {"pending": await self._service.pending(route_match.queue, timeout)}
+                )
+            if not JOB_ID.fullmatch(route_match.path_suffix):
                 return _json(404, {"error": "the job id must be 16 hexadecimal digits"})
-            return await self._handle_job(request, target, timeout)
+            return await self._handle_job(request, route_match, timeout)
         except UnavailableError as error:
             _log.info("{} {}: {}", request.method, request.path, error)
             if error.may_have_run:
@@ -123,29 +125,29 @@
             return _unavailable(str(error), timedelta(seconds=1))
 
     async def _handle_job(
-        self, request: web.BaseRequest, target: RouteMatch, timeout: timedelta
+        self, request: web.BaseRequest, route_match: RouteMatch, timeout: timedelta
     ) -> web.StreamResponse:
-        job_id = JobId(target.path_suffix)
+        job_id = JobId(route_match.path_suffix)
         if request.method == "POST":
-            return await self._submit(request, target, job_id, timeout)
+            return await self._submit(request, route_match, job_id, timeout)
         if request.method == "GET":
-            phase = await self._service.phase(target.queue, job_id, timeout)
+            phase = await self._service.phase(route_match.queue, job_id, timeout)
             if phase is None:
                 return _json(410, {"error": "no such job"})
             return _json(200, {"state": phase.value})
         if request.method == "DELETE":
-            outcome = await self._service.cancel(target.queue, job_id, timeout)
+            outcome = await self._service.cancel(route_match.queue, job_id, timeout)
             return _json(200 if outcome is CancelResult.CANCELLED else 410, {})
         return _json(405, {"error": f"method {request.method} is not known"})
 
     async def _submit(
-        self, request: web.BaseRequest, target: RouteMatch, job_id: JobId, timeout: timedelta
+        self, request: web.BaseRequest, route_match: RouteMatch, job_id: JobId, timeout: timedelta
     ) -> web.StreamResponse:
         job = decode_job(await request.read())
         if isinstance(job, Err):
             _log.info("{} refused: malformed job: {}", job_id, job.err_value)
             return _json(400, {"error": job.err_value})
-        submitted = await self._service.submit(target.queue, job_id, job.ok_value, timeout)
+        submitted = await self._service.submit(route_match.queue, job_id, job.ok_value, timeout)
         if submitted.refusal:
             _log.info("{} refused: {}", job_id, submitted.refusal)
             return _unavailable(submitted.refusal, submitted.retry_after)
