--- a/hornbeamramp/cluster_status.py
+++ b/hornbeamramp/cluster_status.py
@@ -67,14 +67,14 @@
         metrics.observe("revision", lambda: [(self._configuration.tables.revision, {})])
         metrics.observe("members", self._read_members)
         metrics.observe("shards_owned", lambda: [(len(self._shards.owner_by_shard), {})])
-        metrics.observe("upstreams_set_aside", self._read_set_aside)
+        metrics.observe("upstreams_set_aside", self._read_inactive_upstreams)
         metrics.observe("store_calls", self._read_store_calls)
 
     def _read_members(self) -> list[Reading]:
         states = [self._membership.state_of(vm) for vm in self._membership.by_id]
         return [(states.count(state), {"state": state.value}) for state in MemberState]
 
-    def _read_set_aside(self) -> list[Reading]:
+    def _read_inactive_upstreams(self) -> list[Reading]:
         readings = []
         for shard in self._shards.status():
             states = [upstream["state"] for upstream in shard["upstreams"]]
--- a/hornbeamramp/status_view.py
+++ b/hornbeamramp/status_view.py
@@ -55,9 +55,9 @@
     recovering = [s["shard"] for s in document["shards"] if s["detail"] and not _is_recovered(s)]
     if recovering:
         faults.append(f"recovering: {', '.join(recovering)}")
-    set_aside_count = len(_set_aside(document))
-    if set_aside_count:
-        faults.append(f"{set_aside_count} upstreams set aside")
+    inactive_count = len(_inactive_upstreams(document))
+    if inactive_count:
+        faults.append(f"{inactive_count} upstreams set aside")
     state = "; ".join(faults) or "all data centres are serving"
     return f"revision {document['revision']} at {document['vm']}: {state}"
 
@@ -66,7 +66,7 @@
     return bool(shard["detail"].get("recovered"))
 
 
-def _set_aside(document: dict[str, Any]) -> list[list[Any]]:
+def _inactive_upstreams(document: dict[str, Any]) -> list[list[Any]]:
     return [
         [shard["shard"], upstream["id"], upstream["state"], upstream.get("reason") or "-"]
         for shard in document["shards"]
@@ -129,7 +129,7 @@
 
 
 def _print_upstreams(document: dict[str, Any], console: Console) -> None:
-    rows = _set_aside(document)
+    rows = _inactive_upstreams(document)
     if rows:
         headings = ["shard", "upstream", "state", "reason"]
         _print_table(console, "Upstreams set aside", headings, rows)
