--- a/hornbeamramp/http_client.py
+++ b/hornbeamramp/http_client.py
@@ -24,8 +24,8 @@
 # Shorter than the idle timeouts of the stand-ins and of common servers.
 IDLE_LIMIT = timedelta(seconds=5)
 MAX_RESPONSE_BYTES = 16 * 1024 * 1024
-KEEPALIVE_IDLE_SECONDS = 5
-KEEPALIVE_INTERVAL_SECONDS = 2
+KEEPALIVE_IDLE_S = 5
+KEEPALIVE_INTERVAL_S = 2
 KEEPALIVE_PROBES = 3
 
 
@@ -109,8 +109,8 @@
     family, kind, protocol, _, _ = address
     sock = socket.socket(family, kind, protocol)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_SECONDS)
-    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_SECONDS)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
     limit_ms = max(user_timeout // timedelta(milliseconds=1), 1)
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, limit_ms)
