--- a/hornbeamramp/__init__.py
+++ b/hornbeamramp/__init__.py
@@ -1,4 +1,4 @@
-"""Cluster scheduler for services, batch work and gangs on unlike upstreams."""
+"""Cluster scheduler for services, batch work and gangs on heterogeneous upstreams."""
 
 __version__ = "0.1.0"
 
--- a/hornbeamramp/admin_api.py
+++ b/hornbeamramp/admin_api.py
@@ -1,4 +1,4 @@
-"""HTTP API for operators: the two tables, status and metrics, behind a bearer token."""
+"""HTTP API for operators: routes, pools, status and metrics, behind a bearer token."""
 
 import hmac
 import re
--- a/hornbeamramp/band_credit.py
+++ b/hornbeamramp/band_credit.py
@@ -1,4 +1,4 @@
-"""Guaranteed shares: credit that waiting bands earn from work started from more urgent bands."""
+"""Guaranteed shares: bands with queued jobs earn credit from work of more urgent bands."""
 
 from collections.abc import Mapping
 
--- a/hornbeamramp/demand.py
+++ b/hornbeamramp/demand.py
@@ -1,4 +1,4 @@
-"""Demand for a kind of resource, learned from use, and its sum over all flows."""
+"""Learned demand of each flow for one kind of resource, and its sum over all flows."""
 
 from math import sqrt
 
--- a/hornbeamramp/poolowner/advice.py
+++ b/hornbeamramp/poolowner/advice.py
@@ -1,4 +1,7 @@
-"""Advice on which workers may run a step. Grants last as long as the worker; tickets expire."""
+"""Advice on which workers may run a step.
+
+A worker stays granted as long as it exists; the ticket that a start order on it needs expires.
+"""
 
 from abc import ABC, abstractmethod
 from collections.abc import Iterable
--- a/hornbeamramp/poolowner/pacing.py
+++ b/hornbeamramp/poolowner/pacing.py
@@ -1,8 +1,8 @@
 """Throttles best-effort tasks that slow down latency-sensitive tasks on the same worker.
 
-Each list of a worker reports the tail of the response times of its latency-sensitive tasks. When
-one approaches its target, all best-effort tasks of the worker are paused; well below the target,
-they are sped up again step by step.
+Each run list of a worker reports the tail latency of its latency-sensitive tasks. When that of one
+task approaches its target, all best-effort tasks of the worker are paused; once it is well below
+the target, their speed is restored step by step.
 """
 
 from collections.abc import Iterable
--- a/hornbeamramp/poolowner/recovery.py
+++ b/hornbeamramp/poolowner/recovery.py
@@ -1,4 +1,7 @@
-"""Recovery of a new owner: reads the pool's records and lists unlisted workers as placeholders."""
+"""Recovery of a new owner: reads the pool's job records.
+
+A worker that is no longer listed but may still run tasks gets a placeholder listing.
+"""
 
 import asyncio
 
--- a/hornbeamramp/upstreams/wire.py
+++ b/hornbeamramp/upstreams/wire.py
@@ -1,5 +1,6 @@
-"""Messages of the upstream protocol: JSON over HTTP, with durations in whole milliseconds and
-payloads in base64. Shared by the adapter and the stand-in upstream.
+"""Messages of the upstream protocol, shared by the adapter and the stand-in upstream.
+
+They are JSON over HTTP, with durations in whole milliseconds and payloads in base64.
 """
 
 import msgspec
--- a/hornbeamramp/vm/lease.py
+++ b/hornbeamramp/vm/lease.py
@@ -1,4 +1,4 @@
-"""The store lease of one process. The store deletes its keys once it is no longer renewed."""
+"""The store lease of one process. When it expires, the store deletes the keys attached to it."""
 
 from collections.abc import Callable
 from datetime import timedelta
@@ -42,8 +42,10 @@
         self._is_renewal_failing = False
 
     def valid_until_for(self, lease_id: int) -> timedelta:
-        """Returns the boot time until which a lease is certainly valid; ``timedelta.min`` if it was
-        replaced."""
+        """Returns the boot time until which a lease is certainly valid.
+
+        ``timedelta.min`` if another lease has replaced it.
+        """
         return self.valid_until if lease_id == self.lease_id else timedelta.min
 
     @property
@@ -81,7 +83,7 @@
             await self._clock.sleep(RENEW_PERIOD)
 
     async def end(self) -> None:
-        """Ends the lease, so that the store deletes its keys at once."""
+        """Ends the lease, so that the store deletes the keys attached to it at once."""
         lease, self.lease_id, self.valid_until = self.lease_id, 0, timedelta(0)
         if lease:
             try:
