--- a/hornbeamramp/band_credit.py
+++ b/hornbeamramp/band_credit.py
@@ -1,4 +1,4 @@
-"""Guaranteed shares: bands with queued jobs earn credit from work of more urgent bands."""
+"""Guaranteed shares: waiting bands earn credit when work of more urgent bands is started."""
 
 from collections.abc import Mapping
 
