--- a/tests/cell.py
+++ b/tests/cell.py
@@ -320,7 +320,7 @@
         await asyncio.gather(*others, return_exceptions=True)
 
 
-async def calm(cell: Cell, *names: str) -> None:
+async def start_processes(cell: Cell, *names: str) -> None:
     """Starts processes and waits until one serves and all know each other."""
     for name in names:
         cell.start(name)
--- a/tests/test_evidence.py
+++ b/tests/test_evidence.py
@@ -1,13 +1,13 @@
 """Tests of claims based on the upstreams: a single entry VM and its replacement."""
 
-from tests.cell import SECOND, SHARD, calm
+from tests.cell import SECOND, SHARD, start_processes
 
 
 def test_replacement_of_a_single_vm_waits_while_tasks_are_renewed(in_cell):
     """Guards against a replacement that reaches the store and claims a shard that is served."""
 
     async def scenario(cell):
-        await calm(cell, "a")
+        await start_processes(cell, "a")
         old = cell.process_by_vm["a"]
         old.store.cut = True
         new = cell.start("b")
@@ -27,7 +27,7 @@
     """Guards against two owners if the old one is idle, so that no task renewal reveals it."""
 
     async def scenario(cell):
-        await calm(cell, "a")
+        await start_processes(cell, "a")
         cell.process_by_vm["a"].store.cut = True
         cell.start("b")
         cell.cut("a", "b")
@@ -42,7 +42,7 @@
 
     async def scenario(cell):
         cell.upstreams.labelled = cell.upstreams.fences = False
-        await calm(cell, "a")
+        await start_processes(cell, "a")
         cell.kill("a")
         cell.start("b")
         await cell.advance(60 * SECOND)
@@ -58,7 +58,7 @@
 
     async def scenario(cell):
         cell.upstreams.all_answered = False
-        await calm(cell, "a")
+        await start_processes(cell, "a")
         cell.process_by_vm["a"].store.cut = True
         cell.start("b")
         cell.cut("a", "b")
--- a/tests/test_ownership.py
+++ b/tests/test_ownership.py
@@ -8,7 +8,7 @@
 from hornbeamramp.messages import AskOwnerRequest, HandOverRequest
 from hornbeamramp.platforms.memory import StoreMode
 from hornbeamramp.states import ProofKind
-from tests.cell import SECOND, SHARD, Cell, Process, calm
+from tests.cell import SECOND, SHARD, Cell, Process, start_processes
 
 TTL = 6 * SECOND
 
@@ -30,7 +30,7 @@
 
     async def scenario(cell):
         names = [f"vm{i}" for i in range(count)]
-        await calm(cell, *names)
+        await start_processes(cell, *names)
         cell.kill(cell.serving()[0])
         assert await cell.wait_until_served(TTL + 2 * SECOND) <= TTL + 2 * SECOND
 
@@ -41,7 +41,7 @@
     """Guards against a graceful shutdown that makes callers wait until the lease expires."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b", "c")
+        await start_processes(cell, "a", "b", "c")
         owner = cell.process_by_vm[cell.serving()[0]]
         began = cell.clock.boot_time()
         leaving = asyncio.ensure_future(owner.ownership.hand_over_all())
@@ -64,7 +64,7 @@
     """Guards against a shard that loses its owner or changes its epoch in a long store outage."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b", "c")
+        await start_processes(cell, "a", "b", "c")
         owner, _ = owner_and_others(cell)
         cell.store.mode = StoreMode.DOWN
         for _ in range(600):
@@ -85,7 +85,7 @@
     """Guards against a partitioned data centre with one entry VM that stops serving."""
 
     async def scenario(cell):
-        await calm(cell, "a")
+        await start_processes(cell, "a")
         cell.store.mode = StoreMode.DOWN
         for _ in range(600):
             await cell.advance(SECOND / 10)
@@ -100,7 +100,7 @@
     """Guards against an unnecessary move of a shard while its owner answers its peers."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b", "c")
+        await start_processes(cell, "a", "b", "c")
         owner, _ = owner_and_others(cell)
         owner.store.cut = True
         await cell.advance(40 * SECOND)
@@ -113,7 +113,7 @@
     """Guards against two owners while the first has a proof, and against no owner afterwards."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b", "c")
+        await start_processes(cell, "a", "b", "c")
         owner, others = owner_and_others(cell)
         owner.store.cut = True
         await cell.advance(20 * SECOND)
@@ -135,7 +135,7 @@
     """Guards against a claim by a member whose view of the other leases is out of date."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b")
+        await start_processes(cell, "a", "b")
         owner, (other,) = owner_and_others(cell)
         cell.cut("a", "b")
         other.membership.by_id[owner.vm].lease = None
@@ -149,7 +149,7 @@
     """Guards against a start by an owner that was replaced while its process was paused."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b")
+        await start_processes(cell, "a", "b")
         owner, _ = owner_and_others(cell)
         owner.pause.pause()
         await cell.advance(TTL + 2 * SECOND)
@@ -180,7 +180,7 @@
     """Guards against a takeover that waits for its own lease to end after a lost answer."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b")
+        await start_processes(cell, "a", "b")
         owner, (successor,) = owner_and_others(cell)
         cell.kill(owner.vm)
         while not any(e.key == f"members/gebze/{owner.vm}" for e in cell.store.entries()):
@@ -203,7 +203,7 @@
     """Guards against a claim by a member that promised not to claim before its restart."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b")
+        await start_processes(cell, "a", "b")
         owner, (other,) = owner_and_others(cell)
         owner.store.cut = True
         await cell.advance(20 * SECOND)
@@ -221,7 +221,7 @@
     """Guards against a proof without the promise of a member that may be alive but cut off."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b", "c")
+        await start_processes(cell, "a", "b", "c")
         owner, others = owner_and_others(cell)
         cell.store.mode = StoreMode.DOWN
         await cell.advance(10 * SECOND)
@@ -239,7 +239,7 @@
     """Guards against a message from an earlier epoch that takes a shard from its owner."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b", "c")
+        await start_processes(cell, "a", "b", "c")
         owner, others = owner_and_others(cell)
         cell.network.duplicate = True
         asyncio.ensure_future(owner.ownership.hand_over_all())
@@ -259,7 +259,7 @@
     """Guards against a successor that starts work while the last start is still in transit."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b")
+        await start_processes(cell, "a", "b")
         owner, (other,) = owner_and_others(cell)
         owner.store.cut = True
         request = AskOwnerRequest(SHARD, other.vm)
@@ -278,7 +278,7 @@
     """Guards against a process that claims a shard again right after it has released it."""
 
     async def scenario(cell):
-        await calm(cell, "a", "b")
+        await start_processes(cell, "a", "b")
         owner, (other,) = owner_and_others(cell)
         release = asyncio.ensure_future(owner.ownership.release(SHARD))
         await cell.advance(4 * SECOND)
@@ -293,7 +293,7 @@
     """Guards against moving a shard only because a new member ranks higher."""
 
     async def scenario(cell):
-        await calm(cell, "a")
+        await start_processes(cell, "a")
         for name in "bcdef":
             cell.start(name, size=50.0)
         await cell.advance(20 * SECOND)
@@ -306,7 +306,7 @@
     """Guards against an owner that keeps a shard whose pool no longer exists."""
 
     async def scenario(cell):
-        await calm(cell, "a")
+        await start_processes(cell, "a")
         cell.shards = []
         await cell.advance(2 * SECOND)
         assert cell.process_by_vm["a"].ownership.owned == {}
