--- a/tests/cell.py
+++ b/tests/cell.py
@@ -1,6 +1,7 @@
-"""A cell of entry processes in one event loop: network, store access, upstreams and pauses.
+"""A cell of membership and ownership processes in one event loop, with faults.
 
-All failures are switched on by the test. Time passes only by `ManualClock.advance`.
+Tests inject faults of the network, the store and the upstreams, and pause processes. Time passes
+only by `ManualClock.advance`.
 """
 
 import asyncio
@@ -21,7 +22,7 @@
 from hornbeamramp.platforms.memory import MemoryPlatform
 from hornbeamramp.settings import PlatformSettings, Settings, TimingSettings
 from hornbeamramp.states import Step
-from tests.fake_upstreams import Pause, Upstreams, Witness
+from tests.fake_upstreams import Pause, UpstreamAccess, Upstreams
 
 SECOND = timedelta(seconds=1)
 STORE_TIMEOUT = timedelta(seconds=1)
@@ -30,10 +31,10 @@
 
 
 class ProcessClock(Clock):
-    """Clock of one process, which does not wake while the process is paused.
+    """Clock of one process; its sleeps do not end while the process is paused.
 
     `rate`
-        How fast it runs against the true time.
+        Its speed relative to the cell's clock.
     """
 
     def __init__(self, clock: ManualClock, pause: Pause, rate: float = 1.0) -> None:
@@ -49,18 +50,18 @@
 
     async def sleep(self, duration: timedelta) -> None:
         await self._clock.sleep(duration / self._rate)
-        await self._pause.passed()
+        await self._pause.wait_until_resumed()
 
 
 class StoreAccess:
-    """The store as one process reaches it. A call without an answer fails after a second.
+    """Access of one process to the store, with faults. Unanswered calls fail after a second.
 
     `cut`
-        Calls get no answer and take no effect.
+        Calls get no answer and have no effect.
     `lose_answers`
         Number of the next calls that take effect and get no answer.
     `delay`
-        Time after which a call takes effect, even if the process no longer waits for it.
+        Time until a call takes effect, even if the process has stopped waiting by then.
     """
 
     def __init__(self, store: MemoryPlatform, clock: ManualClock, pause: Pause) -> None:
@@ -76,7 +77,7 @@
             try:
                 return await self._answer(name, arguments)
             finally:
-                await self._pause.passed()
+                await self._pause.wait_until_resumed()
 
         return call
 
@@ -107,7 +108,7 @@
 
 
 class Network:
-    """Connects processes by address. Pairs can be cut; messages delayed, doubled or dropped."""
+    """Connects processes by address. Can cut pairs, delay or repeat messages and drop replies."""
 
     def __init__(self, clock: ManualClock) -> None:
         self._clock = clock
@@ -124,10 +125,10 @@
         expiry = asyncio.ensure_future(self._clock.sleep(timeout))
         await asyncio.wait({reply, expiry}, return_when=asyncio.FIRST_COMPLETED)
         expiry.cancel()
-        await sender.pause.passed()
+        await sender.pause.wait_until_resumed()
         if not reply.done():
-            # The request may still arrive: its delivery is not cancelled.
-            sender.stray.add(delivery)
+            # The request may still arrive, so its delivery is not cancelled.
+            sender.pending_deliveries.add(delivery)
             raise UnreachableError(step, address, "no answer in time")
         return reply.result()
 
@@ -139,17 +140,17 @@
             return
         for _ in range(2 if self.duplicate else 1):
             await self._clock.sleep(self.delay_by_pair.get(pair, timedelta(0)))
-            await target.pause.passed()
+            await target.pause.wait_until_resumed()
             if not target.is_running:
                 return
             answer = await target.handle(request)
-            await target.pause.passed()
+            await target.pause.wait_until_resumed()
             if pair not in self.cut and pair not in self.drop_replies and not reply.done():
                 reply.set_result(answer)
 
 
 class Peers:
-    """Caller of peers for one process."""
+    """`PeerCaller` of one process."""
 
     def __init__(self, network: Network, process: "Process") -> None:
         self._network = network
@@ -168,7 +169,7 @@
         self.vm = VmId(name)
         self.cell = cell
         self.pause = Pause()
-        self.stray: set[asyncio.Future] = set()
+        self.pending_deliveries: set[asyncio.Future] = set()
         self.is_running = True
         self.revision = Revision(1)
         self.events: list[tuple] = []
@@ -184,7 +185,9 @@
             timing=cell.timing,
         )
         peers = Peers(cell.network, self)
-        self.membership = Membership(settings, self.store, peers, self.clock, self._content)
+        self.membership = Membership(
+            settings, self.store, peers, self.clock, self._heartbeat_content
+        )
         self.ownership = Ownership(
             self.membership,
             self.store,
@@ -194,7 +197,7 @@
             lambda: [s for s in cell.shards if s.endswith("@" + data_centre)],
             self._gained,
             self._lost,
-            Witness(cell.upstreams, self.pause) if cell.upstreams else None,
+            UpstreamAccess(cell.upstreams, self.pause) if cell.upstreams else None,
         )
         cell.network.process_by_address[f"{name}:90"] = self
         self._tasks = [
@@ -202,7 +205,7 @@
             asyncio.ensure_future(self.ownership.run()),
         ]
 
-    def _content(self) -> tuple[Revision, dict[ShardId, ShardBeat]]:
+    def _heartbeat_content(self) -> tuple[Revision, dict[ShardId, ShardBeat]]:
         beats = {s: ShardBeat(e, True) for s, e in self.ownership.owned.items()}
         return self.revision, beats
 
@@ -225,7 +228,7 @@
         raise AssertionError(f"unexpected request {request!r}")
 
     def may_start(self, shard: ShardId = SHARD) -> bool:
-        """What the process would find if it ran now. A paused process may check on resumption."""
+        """Returns what the process would find now. A paused process may check when it resumes."""
         return self.is_running and self.ownership.may_start(shard)
 
     def kill(self) -> None:
@@ -235,7 +238,7 @@
         self.pause.resume()
 
     def failures(self) -> list[BaseException]:
-        """Returns the errors that ended one of the process's main tasks."""
+        """Returns the errors that ended any of the process's main tasks."""
         return [
             t.exception() for t in self._tasks if t.done() and not t.cancelled() and t.exception()
         ]
@@ -244,15 +247,17 @@
 class Cell:
     """Processes, their store, network and upstreams."""
 
-    def __init__(self, clock: ManualClock, store: MemoryPlatform, witness: bool = True) -> None:
+    def __init__(
+        self, clock: ManualClock, store: MemoryPlatform, with_upstreams: bool = True
+    ) -> None:
         self.clock = clock
         self.store = store
         self.timing = TimingSettings()
         self.network = Network(clock)
-        self.upstreams = Upstreams(clock) if witness else None
+        self.upstreams = Upstreams(clock) if with_upstreams else None
         self.shards = [SHARD]
         self.process_by_vm: dict[VmId, Process] = {}
-        self.allowed_at: dict[tuple[ShardId, Process], timedelta] = {}
+        self.last_allowed_at: dict[tuple[ShardId, Process], timedelta] = {}
 
     def start(
         self, name: str, data_centre: DataCentreId = DC, size: float = 1.0, rate: float = 1.0
@@ -274,40 +279,43 @@
             process.store.cut = False
 
     def serving(self, shard: ShardId = SHARD) -> list[VmId]:
-        """Returns the processes that may start work of the shard now."""
+        """Returns the VMs whose process may start tasks of the shard now."""
         return [vm for vm, p in self.process_by_vm.items() if p.may_start(shard)]
 
     def owners(self, shard: ShardId = SHARD) -> list[VmId]:
         return [vm for vm, p in self.process_by_vm.items() if shard in p.ownership.owned]
 
     async def advance(self, duration: timedelta, step: timedelta = SECOND / 10) -> None:
-        """Advances the clock and checks at each step that at most one process may start work."""
-        left = duration
-        while left > timedelta(0):
-            await self.clock.advance(min(step, left))
-            left -= step
+        """Advances the clock and checks after each step that only one process may start tasks."""
+        remaining = duration
+        while remaining > timedelta(0):
+            await self.clock.advance(min(step, remaining))
+            remaining -= step
             self.check()
 
     async def wait_until_served(self, limit: timedelta, shard: ShardId = SHARD) -> timedelta:
-        """Advances until a process may start work. Fails after ``limit``."""
-        began = self.clock.boot_time()
+        """Advances until a process may start tasks and returns the time taken.
+
+        Fails after ``limit``.
+        """
+        started_at = self.clock.boot_time()
         while not self.serving(shard):
-            assert self.clock.boot_time() - began < limit, f"{shard} not served within {limit}"
+            assert self.clock.boot_time() - started_at < limit, f"{shard} not served within {limit}"
             await self.advance(SECOND / 10)
-        return self.clock.boot_time() - began
+        return self.clock.boot_time() - started_at
 
     def check(self) -> None:
-        """Fails if two processes may start work, or a start of one may arrive after another's."""
+        """Fails if two processes may start tasks, or one while another's start may be in flight."""
         now = self.clock.boot_time()
-        bound = timedelta(milliseconds=self.timing.send_bound_ms)
+        send_bound = timedelta(milliseconds=self.timing.send_bound_ms)
         for shard in self.shards:
             for vm in self.serving(shard):
                 process = self.process_by_vm[vm]
-                for (other_shard, other), at in self.allowed_at.items():
-                    in_flight = at + bound > now and other_shard == shard
+                for (other_shard, other), at in self.last_allowed_at.items():
+                    in_flight = at + send_bound > now and other_shard == shard
                     message = f"{now}: {vm} may start work of {shard}, {other.vm} could at {at}"
                     assert other is process or not in_flight, message
-                self.allowed_at[shard, process] = now
+                self.last_allowed_at[shard, process] = now
         for process in self.process_by_vm.values():
             assert not process.failures()
 
@@ -321,7 +329,7 @@
 
 
 async def start_processes(cell: Cell, *names: str) -> None:
-    """Starts processes and waits until one serves and all know each other."""
+    """Starts processes and waits until they know each other and exactly one serves the shard."""
     for name in names:
         cell.start(name)
     await cell.advance(10 * SECOND)
--- a/tests/fake_upstreams.py
+++ b/tests/fake_upstreams.py
@@ -1,4 +1,4 @@
-"""Upstreams as evidence for the cell's processes, and the switch that pauses a process."""
+"""Fake upstreams that processes of a cell observe and fence, and a switch to pause a process."""
 
 import asyncio
 from datetime import timedelta
@@ -9,7 +9,7 @@
 
 
 class Pause:
-    """Stops a process at its next wait: `passed` returns only while it is not paused."""
+    """Pauses a process at its next wait: `wait_until_resumed` returns only while it runs."""
 
     def __init__(self) -> None:
         self._running = asyncio.Event()
@@ -25,15 +25,15 @@
     def resume(self) -> None:
         self._running.set()
 
-    async def passed(self) -> None:
+    async def wait_until_resumed(self) -> None:
         await self._running.wait()
 
 
 class Upstreams:
-    """Upstreams of all shards, as `ShardObserver` for each process.
+    """Upstreams of all shards, which each process observes through `UpstreamAccess`.
 
     `fences`, `labelled`
-        Whether they support fences and show labels.
+        Whether they support fences and report labels.
     """
 
     def __init__(self, clock: ManualClock) -> None:
@@ -66,8 +66,8 @@
         return True
 
 
-class Witness:
-    """The upstreams as one process reaches them; its calls end only while it is not paused."""
+class UpstreamAccess:
+    """`ShardObserver` of one process, whose calls do not return while the process is paused."""
 
     def __init__(self, upstreams: Upstreams, pause: Pause) -> None:
         self._upstreams = upstreams
@@ -75,10 +75,10 @@
 
     async def observe(self, shard: ShardId) -> UpstreamReport:
         report = await self._upstreams.observe(shard)
-        await self._pause.passed()
+        await self._pause.wait_until_resumed()
         return report
 
     async def fence(self, shard: ShardId, epoch: Epoch) -> bool:
         fenced = await self._upstreams.fence(shard, epoch)
-        await self._pause.passed()
+        await self._pause.wait_until_resumed()
         return fenced
--- a/tests/faults/test_answers.py
+++ b/tests/faults/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers that belong to another request or are cut short."""
+"""Answers that belong to another request or are truncated."""
 
 import pytest
 
@@ -6,7 +6,7 @@
 from tests.support.cell import SECOND, run_cell
 
 
-def spoil_answers(cell, vm) -> None:
+def corrupt_answers(cell, vm) -> None:
     for worker in cell.worker:
         vm.upstream_faults(worker).crossed_answers = 2
         vm.upstream_faults(worker).truncated_answers = 2
@@ -14,11 +14,11 @@
 
 @pytest.mark.fault(fault="answer crossed or cut short", step="answer")
 def test_wrong_answers_are_discarded_and_asked_for_again():
-    """Guards against a caller that gets another caller's answer, or half of its own (G3)."""
+    """Guards against a caller that gets another caller's answer, or a truncated one (G3)."""
 
     async def scenario(cell):
         owner = cell.owner_in("gebze")
-        spoil_answers(cell, owner)
+        corrupt_answers(cell, owner)
         calls = [cell.other_vm(owner).submit(cell.job()) for _ in range(4)]
         await cell.advance(10 * SECOND)
         assert all(isinstance(call.outcome, Completed) for call in calls)
@@ -30,14 +30,14 @@
 @pytest.mark.fault(fault="answer crossed or cut short", step="drain")
 @pytest.mark.fault(fault="answer crossed or cut short", step="recover")
 def test_wrong_answers_of_adopted_tasks_are_discarded():
-    """Guards against a successor that takes a wrong answer for that of a task it adopted (G3)."""
+    """Guards against a new owner that accepts a wrong answer for a task it adopted (G3)."""
 
     async def scenario(cell):
         owner = cell.owner_in("gebze")
         other = cell.other_vm(owner)
         calls = [other.submit(cell.job(run=5 * SECOND)) for _ in range(3)]
         await cell.advance(SECOND)
-        spoil_answers(cell, other)
+        corrupt_answers(cell, other)
         owner.stop()
         await cell.advance(20 * SECOND)
         assert all(isinstance(call.outcome, Completed) for call in calls)
--- a/tests/faults/test_checker.py
+++ b/tests/faults/test_checker.py
@@ -1,4 +1,4 @@
-"""The checker and the cell themselves: each broken guarantee is noticed, each run repeatable."""
+"""The checker detects a violation of each guarantee, and the simulated cell is deterministic."""
 
 from datetime import timedelta
 
@@ -12,8 +12,8 @@
 from tests.support.cell import SECOND, run_cell
 
 
-def start(cell, worker: str, job, number: int = 1) -> None:
-    """Starts a task behind the scheduler's back."""
+def start_directly(cell, worker: str, job, number: int = 1) -> None:
+    """Starts a task at a worker directly, bypassing the scheduler."""
     labels = TaskLabels(JobId("rogue"), ShardId("weigh@gebze"), VmId("rogue"), Epoch(99))
     attempt = AttemptId(f"rogue-{job.payload.decode()}.0.99.{number}")
     lease = 60 * SECOND
@@ -24,16 +24,16 @@
 
 def overbook(cell) -> None:
     for _ in range(5):
-        start(cell, "gebze-w0", cell.job())
+        start_directly(cell, "gebze-w0", cell.job())
 
 
 def run_twice_at_once(cell) -> None:
     job = cell.job()
-    start(cell, "gebze-w0", job)
-    start(cell, "tuzla-w0", job, number=2)
+    start_directly(cell, "gebze-w0", job)
+    start_directly(cell, "tuzla-w0", job, number=2)
 
 
-def tell_wrong_answer(cell) -> None:
+def return_wrong_answer(cell) -> None:
     call = cell.vm["gebze-0"].submit(cell.job())
     wrong = TaskResult(AttemptId("a.0.1.1"), "gebze-w0", b"other", 5, "")
     call.outcomes.append(Completed(JobId("a"), [wrong], "gebze"))
@@ -42,19 +42,19 @@
 def run_after_refusal(cell) -> None:
     call = cell.vm["gebze-0"].submit(cell.job())
     call.outcomes.append(NotRun(JobId("a"), RefusalReason.OVERLOAD, ""))
-    start(cell, "gebze-w0", call.job)
+    start_directly(cell, "gebze-w0", call.job)
 
 
 async def repeat_order(cell) -> None:
     call = cell.vm["gebze-0"].submit(cell.job(idempotent=False))
     await cell.advance(3 * SECOND)
-    start(cell, "gebze-w0", call.job, number=2)
+    start_directly(cell, "gebze-w0", call.job, number=2)
 
 
 async def start_on_leaving(cell) -> None:
     cell.list_as_leaving("gebze-w0")
     await cell.advance(6 * SECOND)
-    start(cell, "gebze-w0", cell.job())
+    start_directly(cell, "gebze-w0", cell.job())
 
 
 async def cut_off_at_shutdown(cell) -> None:
@@ -66,7 +66,7 @@
 
 
 async def accept_without_effect(cell) -> None:
-    cell.checker.note_accepted(1000)
+    cell.checker.record_accepted(1000)
     await cell.clock.advance(19 * SECOND)
 
 
@@ -75,7 +75,7 @@
     [
         ("G1", overbook),
         ("G2", run_twice_at_once),
-        ("G3", tell_wrong_answer),
+        ("G3", return_wrong_answer),
         ("G4", run_after_refusal),
         ("G5", repeat_order),
         ("G6", start_on_leaving),
@@ -84,7 +84,7 @@
     ],
 )
 def test_checker_notices_a_violation(guarantee, violate):
-    """Guards against a checker that passes whatever happens."""
+    """Guards against a checker that doesn't detect a broken guarantee."""
 
     async def scenario(cell):
         done = violate(cell)
@@ -97,7 +97,7 @@
 
 
 def test_same_seed_gives_the_same_run():
-    """Guards against a failure that can't be repeated."""
+    """Guards against a failure that can't be reproduced from its seed."""
 
     async def scenario(cell):
         for sender in cell.vm:
--- a/tests/faults/test_late_messages.py
+++ b/tests/faults/test_late_messages.py
@@ -28,7 +28,7 @@
 @pytest.mark.fault(fault="message late", step="start")
 @pytest.mark.fault(fault="two faults at once", step="start")
 def test_start_of_a_dead_owner_is_refused_after_the_next_one_has_fenced():
-    """Guards against a start that arrives after the next owner has repeated the job (G2)."""
+    """Guards against a start that takes effect after the next owner has restarted the job (G2)."""
 
     async def scenario(cell):
         owner = cell.owner_in("gebze")
@@ -49,7 +49,7 @@
     "capabilities", [frozenset(), frozenset({Capability.LABELS})], ids=["none", "labels"]
 )
 def test_start_whose_intent_was_recorded_before_a_pause_is_not_sent_after_it(capabilities):
-    """Guards against an owner that starts a task after its proof has run out in a pause."""
+    """Guards against an owner that starts a task after its proof expired during a pause."""
 
     async def scenario(cell):
         owner = cell.owner_in("gebze")
@@ -67,14 +67,14 @@
 @pytest.mark.fault(fault="process killed", step="start")
 @pytest.mark.fault(fault="process killed", step="recover")
 def test_order_of_a_dead_owner_is_not_reported_as_not_run():
-    """Guards against a started order that its next owner takes for one that never arrived (G4)."""
+    """Guards against a new owner that reports a started order as never received (G4)."""
 
     async def scenario(cell):
         owner = cell.owner_in("gebze")
         call = cell.other_vm(owner).submit(cell.job(run=20 * SECOND, idempotent=False))
         await cell.advance(2 * SECOND)
         owner.kill()
-        await cell.outcome(call)
+        await cell.wait_for_outcome(call)
         await cell.advance(10 * SECOND)
         assert len(cell.checker.runs()) == 1
 
--- a/tests/faults/test_matrix.py
+++ b/tests/faults/test_matrix.py
@@ -1,6 +1,6 @@
-"""One fault at the moment of one step, under a mixed load; all guarantees are checked throughout.
+"""One fault injected at one step, under a mixed load, while all guarantees are checked.
 
-A step happens on the way of a message, so the fault strikes just before the message has effect.
+A step belongs to a message, so the fault is injected just before the message takes effect.
 """
 
 import asyncio
@@ -15,25 +15,25 @@
 from tests.support.cell import POOL, SECOND, SimulatedCell, Vm, run_cell
 
 HOME = "gebze"
-OUTAGE = 15 * SECOND
-# Longer than any of the resolutions that a healed cell still has to do.
-LIMIT = 90 * SECOND
+FAULT_DURATION = 15 * SECOND
+# Longer than any resolution of an unknown outcome takes once the faults have ended.
+ANSWER_LIMIT = 90 * SECOND
 
 
-def kill(cell: SimulatedCell, vm: Vm) -> None:
+def kill_vm(cell: SimulatedCell, vm: Vm) -> None:
     vm.kill()
 
 
-def lose(cell: SimulatedCell, vm: Vm) -> None:
+def lose_vm(cell: SimulatedCell, vm: Vm) -> None:
     vm.kill(lost=True)
 
 
-def pause(cell: SimulatedCell, vm: Vm) -> None:
+def pause_vm(cell: SimulatedCell, vm: Vm) -> None:
     vm.pause.pause()
 
 
-def pause_shortly(cell: SimulatedCell, vm: Vm) -> None:
-    """Lets the lease lapse, but resumes before anyone else may claim."""
+def pause_briefly(cell: SimulatedCell, vm: Vm) -> None:
+    """Pauses until after the lease has expired, but resumes before another VM may claim."""
     vm.pause.pause()
     asyncio.get_running_loop().create_task(_resume(cell, vm))
 
@@ -43,20 +43,20 @@
     vm.pause.resume()
 
 
-def die(cell: SimulatedCell, vm: Vm) -> None:
+def kill_upstream(cell: SimulatedCell, vm: Vm) -> None:
     cell.workers_in(HOME)[0].die()
 
 
-def leave(cell: SimulatedCell, vm: Vm) -> None:
+def mark_upstreams_leaving(cell: SimulatedCell, vm: Vm) -> None:
     cell.workers_in(HOME)[0].leave()
     cell.list_as_leaving(cell.workers_in(HOME)[1].name)
 
 
-def fail(cell: SimulatedCell, vm: Vm) -> None:
+def fail_upstream(cell: SimulatedCell, vm: Vm) -> None:
     cell.workers_in(HOME)[0].fail_all = True
 
 
-def cut_off(cell: SimulatedCell, vm: Vm) -> None:
+def isolate_data_centre(cell: SimulatedCell, vm: Vm) -> None:
     cell.isolate(HOME)
 
 
@@ -66,24 +66,24 @@
             cell.network.cut(vm.name, other.name)
 
 
-def store_down(cell: SimulatedCell, vm: Vm) -> None:
+def stop_store(cell: SimulatedCell, vm: Vm) -> None:
     cell.platform.mode = StoreMode.DOWN
 
 
-def store_slow(cell: SimulatedCell, vm: Vm) -> None:
+def slow_store(cell: SimulatedCell, vm: Vm) -> None:
     cell.platform.delay = 3 * SECOND
     cell.platform.mode = StoreMode.SLOW
 
 
-def store_answers_lost(cell: SimulatedCell, vm: Vm) -> None:
+def lose_store_answers(cell: SimulatedCell, vm: Vm) -> None:
     vm.store.answers_to_lose = 3
 
 
-def store_older(cell: SimulatedCell, vm: Vm) -> None:
+def restore_older_store(cell: SimulatedCell, vm: Vm) -> None:
     cell.platform.restore(cell.older_entries)
 
 
-def late(cell: SimulatedCell, vm: Vm) -> None:
+def delay_messages(cell: SimulatedCell, vm: Vm) -> None:
     for other in cell.vm.values():
         cell.network.faults(vm.name, other.name).delay = 1.5 * SECOND
         cell.network.faults(other.name, vm.name).delay = 1.5 * SECOND
@@ -91,7 +91,7 @@
         vm.upstream_faults(worker).starts_delayed_by = 4 * SECOND
 
 
-def twice(cell: SimulatedCell, vm: Vm) -> None:
+def duplicate_messages(cell: SimulatedCell, vm: Vm) -> None:
     for other in cell.vm.values():
         cell.network.faults(vm.name, other.name).duplicates = 50
         cell.network.faults(other.name, vm.name).duplicates = 50
@@ -99,13 +99,13 @@
         vm.upstream_faults(worker).duplicate_starts = 10
 
 
-def crossed(cell: SimulatedCell, vm: Vm) -> None:
+def corrupt_answers(cell: SimulatedCell, vm: Vm) -> None:
     for worker in cell.worker:
         vm.upstream_faults(worker).crossed_answers = 2
         vm.upstream_faults(worker).truncated_answers = 2
 
 
-def silent(cell: SimulatedCell, vm: Vm) -> None:
+def drop_messages(cell: SimulatedCell, vm: Vm) -> None:
     for worker in cell.worker:
         vm.upstream_faults(worker).silent = 3
     for other in cell.vm.values():
@@ -113,29 +113,29 @@
         cell.network.faults(other.name, vm.name).drop_replies = 2
 
 
-def kill_in_outage(cell: SimulatedCell, vm: Vm) -> None:
+def kill_vm_in_outage(cell: SimulatedCell, vm: Vm) -> None:
     cell.platform.mode = StoreMode.DOWN
     vm.kill()
 
 
 FAULTS: dict[str, Callable[[SimulatedCell, Vm], None]] = {
-    "process killed": kill,
-    "process paused beyond the lease": pause,
-    "VM lost": lose,
-    "upstream dies": die,
-    "upstream leaving": leave,
-    "upstream fails everything": fail,
-    "data centre cut off": cut_off,
+    "process killed": kill_vm,
+    "process paused beyond the lease": pause_vm,
+    "VM lost": lose_vm,
+    "upstream dies": kill_upstream,
+    "upstream leaving": mark_upstreams_leaving,
+    "upstream fails everything": fail_upstream,
+    "data centre cut off": isolate_data_centre,
     "peers cut from each other": cut_peers,
-    "store down": store_down,
-    "store slow": store_slow,
-    "store answer lost": store_answers_lost,
-    "store returns with older state": store_older,
-    "lease lapses while paused": pause_shortly,
-    "message late": late,
-    "message twice": twice,
-    "connection silent": silent,
-    "two faults at once": kill_in_outage,
+    "store down": stop_store,
+    "store slow": slow_store,
+    "store answer lost": lose_store_answers,
+    "store returns with older state": restore_older_store,
+    "lease lapses while paused": pause_briefly,
+    "message late": delay_messages,
+    "message twice": duplicate_messages,
+    "connection silent": drop_messages,
+    "two faults at once": kill_vm_in_outage,
 }
 UPSTREAM_STEPS = [
     Step.START,
@@ -173,7 +173,7 @@
 }
 
 
-def cells():
+def matrix_cells():
     for fault, steps in STEPS_BY_FAULT.items():
         for step in steps:
             mark = pytest.mark.fault(fault=fault, step=step.value)
@@ -181,7 +181,7 @@
 
 
 def submit_mixed(cell: SimulatedCell, vm: Vm) -> None:
-    """Submits one job of each kind at ``vm``."""
+    """Submits jobs of each kind, with and without a key or an asynchronous reply, at ``vm``."""
     vm.submit(cell.job(run=3 * SECOND))
     vm.submit(cell.job(run=3 * SECOND, idempotent=False))
     vm.submit(cell.job(run=SECOND / 2, key="mixed", idempotent=False))
@@ -198,14 +198,14 @@
     return cell.begin_proposal(vm, "pools", POOL, changed, version)
 
 
-async def reach_step(cell: SimulatedCell, step: Step, strike: Callable[[Vm], None]) -> None:
-    """Makes ``step`` happen at the home data centre and the fault strike then."""
+async def reach_step(cell: SimulatedCell, step: Step, inject: Callable[[Vm], None]) -> None:
+    """Makes ``step`` happen in the home data centre and injects the fault at that moment."""
     owner = cell.owner_in(HOME)
     entry = cell.other_vm(owner)
     if step in (Step.CANCEL, Step.CLAIM, Step.RECOVER, Step.DRAIN):
         submit_mixed(cell, entry)
         await cell.advance(SECOND)
-        cell.on_step(step, strike)
+        cell.on_step(step, inject)
         if step is Step.CANCEL:
             for call in cell.calls:
                 entry.cancel(call)
@@ -215,23 +215,23 @@
             owner.kill()
     elif step in (Step.CHANGE_ACCEPTED, Step.CHANGE_APPLIED):
         if step is Step.CHANGE_ACCEPTED:
-            cell.on_step(step, strike)
+            cell.on_step(step, inject)
             propose_quota(cell, entry, 2.0)
         else:
             task = propose_quota(cell, entry, 2.0)
             await cell.wait_for(task.done, SECOND)
-            strike(owner)
+            inject(owner)
         submit_mixed(cell, entry)
     elif step is Step.RUN:
         submit_mixed(cell, entry)
         await cell.advance(SECOND)
-        strike(owner)
+        inject(owner)
     else:
-        cell.on_step(step, strike)
+        cell.on_step(step, inject)
         submit_mixed(cell, entry)
 
 
-@pytest.mark.parametrize(("fault", "step"), list(cells()))
+@pytest.mark.parametrize(("fault", "step"), list(matrix_cells()))
 def test_guarantees_hold(fault, step):
     """Guards against a fault that breaks a guarantee or leaves a caller without an outcome."""
 
@@ -239,29 +239,29 @@
         cell.older_entries = cell.platform.entries()
         propose_quota(cell, cell.owner_in(HOME), 1.5)
         await cell.advance(SECOND)
-        struck = []
+        faulted_vms = []
 
-        def strike(vm: Vm) -> None:
-            struck.append(vm)
+        def inject(vm: Vm) -> None:
+            faulted_vms.append(vm)
             FAULTS[fault](cell, vm)
 
-        await reach_step(cell, step, strike)
-        await cell.wait_for(lambda: struck, 40 * SECOND)
-        await cell.advance(OUTAGE)
+        await reach_step(cell, step, inject)
+        await cell.wait_for(lambda: faulted_vms, 40 * SECOND)
+        await cell.advance(FAULT_DURATION)
         cell.heal()
         for worker in cell.worker.values():
             worker.is_up, worker.fail_all = True, False
         for name, _ in cell.names:
             if not cell.vm[name].is_running:
                 cell.start_vm(name)
-        await cell.wait_for(lambda: all(call.answered for call in cell.calls), LIMIT)
+        await cell.wait_for(lambda: all(call.answered for call in cell.calls), ANSWER_LIMIT)
         await cell.advance(10 * SECOND)
 
     run_cell(scenario, vm_count=3)
 
 
 def test_mixed_load_has_no_unknown_outcome_without_a_fault():
-    """Guards against a load that the matrix runs in vain because it fails by itself."""
+    """Guards against a load that fails without a fault, which would make the matrix meaningless."""
 
     async def scenario(cell: SimulatedCell) -> None:
         submit_mixed(cell, cell.other_vm(cell.owner_in(HOME)))
--- a/tests/faults/test_operators.py
+++ b/tests/faults/test_operators.py
@@ -1,4 +1,4 @@
-"""Operators that change the same table at the same time."""
+"""Operators that change the same table row concurrently."""
 
 import pytest
 
@@ -24,10 +24,10 @@
         await cell.advance(2 * SECOND)
         results = [task.result() for task in tasks]
         assert sorted(result.is_ok() for result in results) == [False, True]
-        (won,) = [row for row, result in zip(rows, results, strict=True) if result.is_ok()]
-        (lost,) = [result.err_value for result in results if result.is_err()]
-        assert isinstance(lost, VersionConflict) and lost.current == won
+        (winner,) = [row for row, result in zip(rows, results, strict=True) if result.is_ok()]
+        (conflict,) = [result.err_value for result in results if result.is_err()]
+        assert isinstance(conflict, VersionConflict) and conflict.current == winner
         await cell.advance(20 * SECOND)
-        assert all(vm.parts.configuration.tables.pool_by_name[POOL] == won for vm in vms)
+        assert all(vm.parts.configuration.tables.pool_by_name[POOL] == winner for vm in vms)
 
     run_cell(scenario)
--- a/tests/faults/test_store.py
+++ b/tests/faults/test_store.py
@@ -1,4 +1,4 @@
-"""The store away, or its answers lost, while an acceptance or an outcome is recorded."""
+"""The store unavailable, or its answers lost, while an acceptance or an outcome is recorded."""
 
 import pytest
 
@@ -55,13 +55,13 @@
 
 @pytest.mark.fault(fault="store down", step="journal")
 def test_refusal_of_an_accepted_job_in_an_outage_stays_a_refusal():
-    """Guards against a job that runs after its caller was told that it can't be recorded (G4)."""
+    """Guards against a job that runs after it was refused because the store was down (G4)."""
 
     async def scenario(cell):
         owner = cell.owner_in("gebze")
         cell.platform.mode = StoreMode.DOWN
         call = cell.other_vm(owner).submit(cell.job(asynchronous=True))
-        assert isinstance(await cell.outcome(call), NotRun)
+        assert isinstance(await cell.wait_for_outcome(call), NotRun)
         cell.platform.mode = StoreMode.UP
         owner.kill()
         await cell.advance(40 * SECOND)
--- a/tests/support/faults.py
+++ b/tests/support/faults.py
@@ -1,4 +1,4 @@
-"""Named faults and requests that a random sequence of steps is made of."""
+"""Hypothesis strategies for sequences of requests and faults, and a function to apply them."""
 
 from typing import Any
 
@@ -18,9 +18,9 @@
     frozenset({Capability.LABELS}),
     frozenset(),
 ]
-# Upstreams with neither fence nor not-after have no defence against a later start; the design
-# page lists this as not proved.
-SHORT_DELAY = 0.4
+# Upstreams with neither fence nor not-after can't refuse a start that arrives later than this; the
+# design page lists this case as not proved.
+MAX_UNFENCED_DELAY_S = 0.4
 
 vms = st.integers(0, 3)
 workers = st.integers(0, 3)
@@ -100,7 +100,7 @@
 
 
 def apply(cell: SimulatedCell, action: tuple[Any, ...]) -> None:
-    """Carries out one action."""
+    """Applies one action of a sequence to the cell."""
     kind, *arguments = action
     if kind in ("submit", "burst"):
         vm = _vm(cell, arguments[0])
@@ -111,21 +111,21 @@
         if cell.calls and vm.is_running:
             getattr(vm, kind)(cell.calls[arguments[1] % len(cell.calls)])
     elif kind == "change":
-        _change(cell, _vm(cell, arguments[0]), arguments[1])
+        _propose_change(cell, _vm(cell, arguments[0]), arguments[1])
     elif kind == "store":
         cell.platform.mode = arguments[0]
     elif kind == "isolate":
         cell.isolate(cell.data_centres[arguments[0]], arguments[1])
     elif kind == "peer":
-        _fault_peers(cell, *arguments)
+        _apply_peer_fault(cell, *arguments)
     elif kind == "upstream":
-        _fault_upstream(cell, *arguments)
+        _apply_upstream_fault(cell, *arguments)
     elif kind == "heal":
         cell.heal()
     elif kind in ("die", "revive", "fail", "leave", "list_leaving"):
-        _fault_worker(cell, kind, arguments[0])
+        _apply_worker_fault(cell, kind, arguments[0])
     else:
-        _fault_process(cell, kind, *arguments)
+        _apply_process_fault(cell, kind, *arguments)
 
 
 def _vm(cell: SimulatedCell, index: int):
@@ -140,17 +140,17 @@
     fields = dict(fields)
     route, run = fields.pop("route"), fields.pop("run") * SECOND
     if fields["key"] is not None:
-        # The same key stands for the same request.
-        kept = (route, fields["tasks"], fields["idempotent"])
-        fields["key"] = f"{fields['key']}-{number}-{kept}"
+        # Jobs with the same key must be the same request, so the key includes fields that differ.
+        identity = (route, fields["tasks"], fields["idempotent"])
+        fields["key"] = f"{fields['key']}-{number}-{identity}"
         fields["payload"] = fields["key"].encode()
     if fields["deadline"] is not None:
         fields["deadline"] *= SECOND
     return cell.job(route, run, **fields)
 
 
-def _change(cell: SimulatedCell, vm, weight: int) -> None:
-    """Proposes to write the pool's row with other quotas and one worker less or all."""
+def _propose_change(cell: SimulatedCell, vm, weight: int) -> None:
+    """Proposes a pool with another quota weight, without the first worker if ``weight`` is 1."""
     if not vm.is_running:
         return
     tables = vm.parts.configuration.tables
@@ -161,31 +161,35 @@
     cell.begin_proposal(vm, "pools", POOL, changed, tables.pool_version_by_name[POOL])
 
 
-def _fault_peers(cell, one: int, other: int, fault: str, delay: float, count: int) -> None:
-    sender, receiver = _vm(cell, one), _vm(cell, other)
-    link = cell.network.faults(sender.name, receiver.name)
-    _set(link, fault, delay, count)
+def _apply_peer_fault(
+    cell, sender_index: int, receiver_index: int, fault: str, delay: float, count: int
+) -> None:
+    sender, receiver = _vm(cell, sender_index), _vm(cell, receiver_index)
+    link_faults = cell.network.faults(sender.name, receiver.name)
+    _set_fault(link_faults, fault, delay, count)
 
 
-def _fault_upstream(cell, vm: int, worker: int, fault: str, delay: float, count: int) -> None:
-    target = _worker(cell, worker)
-    if not target.shape().capabilities & {Capability.FENCE, Capability.NOT_AFTER}:
-        delay = min(delay, SHORT_DELAY)
+def _apply_upstream_fault(
+    cell, vm_index: int, worker_index: int, fault: str, delay: float, count: int
+) -> None:
+    worker = _worker(cell, worker_index)
+    if not worker.shape().capabilities & {Capability.FENCE, Capability.NOT_AFTER}:
+        delay = min(delay, MAX_UNFENCED_DELAY_S)
         if fault == "duplicate_starts":
             return
-    _set(_vm(cell, vm).upstream_faults(target.name), fault, delay, count)
+    _set_fault(_vm(cell, vm_index).upstream_faults(worker.name), fault, delay, count)
 
 
-def _set(link, fault: str, delay: float, count: int) -> None:
+def _set_fault(faults, fault: str, delay: float, count: int) -> None:
     if fault == "cut":
-        link.cut = True
+        faults.cut = True
     elif fault in ("delay", "jitter", "starts_delayed_by"):
-        setattr(link, fault, delay * SECOND)
+        setattr(faults, fault, delay * SECOND)
     else:
-        setattr(link, fault, count)
+        setattr(faults, fault, count)
 
 
-def _fault_worker(cell: SimulatedCell, kind: str, index: int) -> None:
+def _apply_worker_fault(cell: SimulatedCell, kind: str, index: int) -> None:
     worker = _worker(cell, index)
     if kind == "die":
         worker.die()
@@ -200,7 +204,7 @@
         cell.list_as_leaving(worker.name)
 
 
-def _fault_process(cell: SimulatedCell, kind: str, index: int, *rest: Any) -> None:
+def _apply_process_fault(cell: SimulatedCell, kind: str, index: int, *arguments: Any) -> None:
     vm = _vm(cell, index)
     if kind == "restart":
         if not vm.is_running:
@@ -222,6 +226,6 @@
     elif kind in ("cut_view", "heal_view"):
         vm.store.cut = kind == "cut_view"
     elif kind == "lose_view":
-        vm.store.answers_to_lose = rest[0]
+        vm.store.answers_to_lose = arguments[0]
     elif kind == "delay_view":
-        vm.store.delay = rest[0] * SECOND
+        vm.store.delay = arguments[0] * SECOND
--- a/tests/support/runtime.py
+++ b/tests/support/runtime.py
@@ -1,4 +1,4 @@
-"""Time and tasks of a simulated cell: the process a task belongs to, and exact settling."""
+"""Clock, platform and tasks of a simulated cell, with each task assigned to its process."""
 
 import asyncio
 import contextvars
@@ -20,25 +20,23 @@
     "Pause",
     "ProcessClock",
     "StoreView",
-    "TaskGroupOfVm",
-    "spawn_outside",
+    "VmTaskGroup",
+    "spawn_detached",
 ]
 
 SECOND = timedelta(seconds=1)
 STORE_TIMEOUT = timedelta(seconds=2)
-SETTLE_LIMIT = 100_000
+MAX_SETTLE_PASSES = 100_000
 
-_group: contextvars.ContextVar["TaskGroupOfVm | None"] = contextvars.ContextVar(
-    "group", default=None
-)
-_outside: contextvars.ContextVar[bool] = contextvars.ContextVar("outside", default=False)
-_group_by_task: "weakref.WeakKeyDictionary[asyncio.Task[Any], TaskGroupOfVm]" = (
+_group: contextvars.ContextVar["VmTaskGroup | None"] = contextvars.ContextVar("group", default=None)
+_detached: contextvars.ContextVar[bool] = contextvars.ContextVar("detached", default=False)
+_group_by_task: "weakref.WeakKeyDictionary[asyncio.Task[Any], VmTaskGroup]" = (
     weakref.WeakKeyDictionary()
 )
 
 
-class TaskGroupOfVm:
-    """All tasks of one process, found through their context or the task that started them."""
+class VmTaskGroup:
+    """All tasks of one process, assigned by their context or by the task that started them."""
 
     def __init__(self) -> None:
         self._tasks: dict[asyncio.Task[Any], None] = {}
@@ -54,15 +52,16 @@
             task = asyncio.Task(coroutine, loop=loop, context=context)
             current = contextvars.copy_context() if context is None else context
             group = current.get(_group)
-            if group is None and not current.get(_outside, False):
-                # The package starts some tasks in an empty context; they belong to their parent's.
+            if group is None and not current.get(_detached, False):
+                # The package starts some tasks in an empty context. These join the group of the
+                # task that starts them.
                 parent = asyncio.current_task(loop)
                 group = _group_by_task.get(parent) if parent is not None else None
             if group is not None:
                 _group_by_task[task] = group
                 group._tasks[task] = None
                 if group.has_ended:
-                    # Started by a task that was killed while it ran.
+                    # Started by a task of a process that was killed while the task ran.
                     task.cancel()
                 task.add_done_callback(lambda done: group._tasks.pop(done, None))
             return task
@@ -82,28 +81,28 @@
             task.cancel()
 
 
-def spawn_outside(coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
-    """Starts a task that belongs to no process, such as a message under way."""
+def spawn_detached(coroutine: Coroutine[Any, Any, Any]) -> asyncio.Task[Any]:
+    """Starts a task that belongs to no process, such as the delivery of a message."""
     context = contextvars.Context()
-    context.run(_outside.set, True)
+    context.run(_detached.set, True)
     return asyncio.get_running_loop().create_task(coroutine, context=context)
 
 
 class CellClock(ManualClock):
-    """Manual clock that lets the loop run until nothing is left to do at the present time."""
+    """Manual clock that runs the event loop until no callback is ready at the present time."""
 
     @staticmethod
     async def _settle() -> None:
         ready = asyncio.get_running_loop()._ready
-        for _ in range(SETTLE_LIMIT):
+        for _ in range(MAX_SETTLE_PASSES):
             await asyncio.sleep(0)
             if not ready:
                 return
-        raise AssertionError("tasks keep running without waiting for time to pass")
+        raise AssertionError("tasks keep running without a clock advance")
 
 
 class CellPlatform(MemoryPlatform):
-    """Platform whose watches wake for changes and ends of leases only, not every 100 ms."""
+    """Platform whose watches wake only on changes and lease expiry, not every 100 ms."""
 
     async def _wait_for_change(self, longest: timedelta) -> None:
         ends = [end - self._clock.boot_time() for end in self._ends_at_by_lease.values()]
@@ -116,16 +115,16 @@
 
 
 class StoreView:
-    """The platform as one process reaches it.
+    """Access of one process to the platform, with faults.
 
     `on_call`
-        Called with name and arguments of each call, before it is sent.
+        Called with the name and arguments of each call before it is sent.
     `cut`
         Calls get no answer and have no effect.
     `answers_to_lose`
         Number of the next calls that take effect and get no answer.
     `delay`
-        Time until a call takes effect, even if the process has given up by then.
+        Time until a call takes effect, even if the process has stopped waiting by then.
     """
 
     def __init__(
@@ -147,21 +146,21 @@
         return not self.cut and not self.answers_to_lose and not self.delay
 
     async def close(self) -> None:
-        """Does nothing, as closing connections needs no answer."""
+        """Does nothing: closing connections needs no answer from the platform."""
 
     def __getattr__(self, name):
         async def call(*arguments):
             try:
                 return await self._answer(name, arguments)
             finally:
-                await self._pause.passed()
+                await self._pause.wait_until_resumed()
 
         return call
 
     async def _answer(self, name: str, arguments: tuple) -> Any:
         limit = STORE_TIMEOUT + (arguments[2] if name == "watch" else timedelta(0))
         self._on_call(name, arguments)
-        effect = spawn_outside(self._take_effect(name, arguments))
+        effect = spawn_detached(self._take_effect(name, arguments))
         expiry = asyncio.ensure_future(self._clock.sleep(limit))
         await asyncio.wait({effect, expiry}, return_when=asyncio.FIRST_COMPLETED)
         expiry.cancel()
--- a/tests/support/vm.py
+++ b/tests/support/vm.py
@@ -1,4 +1,4 @@
-"""One entry VM of a simulated cell: an `EntryParts` with its view of store, peers and upstreams."""
+"""One entry VM of a simulated cell: `EntryParts` with simulated store, peers and upstreams."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,13 +12,13 @@
 from hornbeamramp.messages import SubmitRequest
 from hornbeamramp.settings import DataCentreSettings, PlatformSettings, Settings
 from hornbeamramp.states import JobState, RefusalReason, Step
-from tests.support.network import PeerPort
+from tests.support.network import VmPeerCaller
 from tests.support.runtime import (
     SECOND,
     Pause,
     ProcessClock,
     StoreView,
-    TaskGroupOfVm,
+    VmTaskGroup,
 )
 from tests.support.workers import FaultyUpstream, UpstreamFaults
 
@@ -38,17 +38,17 @@
 
 @dataclass
 class Call:
-    """A submit of a caller and what it was told.
+    """A job submitted by a caller, and the replies that the caller received.
 
     `outcomes`
-        Every outcome told, by the answer itself or by later questions about the job.
+        Every outcome received, in the reply to the submit or to a later query of the job.
     `lost`
-        The connection ended without an answer.
+        Whether the connection ended without an answer.
     """
 
     job: Job
     vm: str
-    begun_at: timedelta
+    submitted_at: timedelta
     outcomes: list[Outcome] = field(default_factory=list)
     accepted: JobId | None = None
     lost: bool = False
@@ -63,7 +63,7 @@
 
 
 class Vm:
-    """A running process. A restart makes a new `Vm` of the same name."""
+    """One run of an entry process. A restart makes a new `Vm` of the same name."""
 
     def __init__(self, cell: "SimulatedCell", name: str, data_centre: str) -> None:
         self.cell = cell
@@ -76,7 +76,7 @@
         self.was_killed = False
         self.calls_after_end: list[str] = []
         self.listens_to_peers = True
-        self.tasks = TaskGroupOfVm()
+        self.tasks = VmTaskGroup()
         self.calls: list[Call] = []
         self.stopping: asyncio.Task[None] | None = None
         self.clock = ProcessClock(cell.clock, self.pause)
@@ -89,17 +89,17 @@
             peer_address=self.address,
             platform=PlatformSettings(address="memory"),
             data_centres={
-                DataCentreId(one): DataCentreSettings(
-                    distance_ms={DataCentreId(o): 1.0 for o in cell.data_centres if o != one}
+                DataCentreId(dc): DataCentreSettings(
+                    distance_ms={DataCentreId(o): 1.0 for o in cell.data_centres if o != dc}
                 )
-                for one in cell.data_centres
+                for dc in cell.data_centres
             },
         )
         self.parts = EntryParts(
             settings,
             self.clock,
             self.store,
-            PeerPort(cell.network, self),
+            VmPeerCaller(cell.network, self),
             lambda pool, upstream: FaultyUpstream(self, cell.worker[upstream.id], cell.clock),
         )
         self.settings = settings
@@ -108,25 +108,25 @@
     def upstream_faults(self, worker: str) -> UpstreamFaults:
         return self._faults_by_worker.setdefault(worker, UpstreamFaults())
 
-    def note_call(self, what: str) -> None:
-        """Notes a call that this process makes; one after its end is a fault of the cell."""
+    def record_call(self, what: str) -> None:
+        """Records a call made after the process has ended, for the checker to report."""
         if self.is_running:
             return
         if asyncio.current_task().cancelling():
-            # The task was killed since its last wait.
+            # The task was cancelled with its process since its last wait.
             raise asyncio.CancelledError
         self.calls_after_end.append(what)
 
     def _on_store_call(self, name: str, arguments: tuple) -> None:
-        self.note_call(f"{name} at the store")
+        self.record_call(f"{name} at the store")
         if name == "renew_lease":
-            self.cell.took_step(Step.RENEW, self)
+            self.cell.report_step(Step.RENEW, self)
         for prefix, step in STEP_BY_PREFIX.items():
             if name == "put" and arguments[0].startswith(prefix):
-                self.cell.took_step(step, self)
+                self.cell.report_step(step, self)
 
     def heal(self) -> None:
-        """Ends all faults of this process's view of the store and the upstreams."""
+        """Ends all faults between this process and the store or the upstreams."""
         self._faults_by_worker.clear()
         self.store.cut = False
         self.store.delay = timedelta(0)
@@ -134,15 +134,15 @@
 
     async def handle(self, request: Any) -> Any:
         if isinstance(request, SubmitRequest):
-            self.cell.took_step(Step.ADMIT, self)
-        await self.pause.passed()
+            self.cell.report_step(Step.ADMIT, self)
+        await self.pause.wait_until_resumed()
         try:
             return await self.parts.handle(request)
         finally:
-            await self.pause.passed()
+            await self.pause.wait_until_resumed()
 
     def kill(self, lost: bool = False) -> None:
-        """Ends the process at once; with ``lost`` the whole VM, so that its address is silent."""
+        """Ends the process at once. With ``lost`` the whole VM ends and its address is silent."""
         self.is_running = False
         self.was_killed = True
         self.listens_to_peers = False
@@ -165,8 +165,8 @@
         for call in self.calls:
             call.in_flight_at_stop = not call.answered
         await parts.ownership.hand_over_all()
-        give_up_at = self.clock.boot_time() + timedelta(minutes=10)
-        while any(not c.answered for c in self.calls) and self.clock.boot_time() < give_up_at:
+        deadline = self.clock.boot_time() + timedelta(minutes=10)
+        while any(not c.answered for c in self.calls) and self.clock.boot_time() < deadline:
             await self.clock.sleep(DRAIN_POLL)
         self.listens_to_peers = False
         await self.clock.sleep(RPC_GRACE if self.cell.network.has_calls_to(self) else DRAIN_POLL)
@@ -174,10 +174,10 @@
         self.is_running = False
         self.cell.network.reset(self)
 
-    # What a caller does.
+    # Actions of a caller.
 
     def submit(self, job: Job) -> Call:
-        """Sends a job as a caller does; the call's fields tell what came of it."""
+        """Submits a job as a caller; the returned call is updated with the result."""
         call = Call(job, self.name, self.cell.clock.boot_time())
         self.cell.calls.append(call)
         if not self.is_running:
@@ -185,22 +185,26 @@
             return call
         self.calls.append(call)
         task = self.tasks.spawn(self._submit(call))
-        task.add_done_callback(lambda done: _note_end(call, done))
+        task.add_done_callback(lambda done: _record_end(call, done))
         return call
 
     async def _submit(self, call: Call) -> None:
-        self.cell.took_step(Step.ACCEPT, self)
-        await self.pause.passed()
+        self.cell.report_step(Step.ACCEPT, self)
+        await self.pause.wait_until_resumed()
         if self.parts.refusing:
-            self._tell(call, NotRun(JobId(""), RefusalReason.SHUTTING_DOWN, "shutting down"))
+            self._record_outcome(
+                call, NotRun(JobId(""), RefusalReason.SHUTTING_DOWN, "shutting down")
+            )
             return
         tables = self.parts.configuration.tables
         route = tables.route_by_name.get(call.job.route)
         if route is None:
-            self._tell(call, NotRun(JobId(""), RefusalReason.UNKNOWN_ROUTE, "no such route"))
+            self._record_outcome(
+                call, NotRun(JobId(""), RefusalReason.UNKNOWN_ROUTE, "no such route")
+            )
             return
         reply = await self.parts.forwarder.submit(call.job, tables.pool_by_name[route.pool])
-        await self.pause.passed()
+        await self.pause.wait_until_resumed()
         call.answered = True
         if reply.accepted is not None:
             call.accepted = reply.accepted
@@ -208,28 +212,28 @@
             call.outcomes.append(reply.outcome)
 
     @staticmethod
-    def _tell(call: Call, outcome: Outcome) -> None:
+    def _record_outcome(call: Call, outcome: Outcome) -> None:
         call.answered = True
         call.outcomes.append(outcome)
 
     def fetch(self, call: Call) -> asyncio.Task[Any]:
-        """Asks for the job of an accepted or answered call."""
+        """Queries the job of an accepted or answered call."""
         return self.tasks.spawn(
-            self._ask(call, self.parts.forwarder.get_job, lambda reply: reply.outcome)
+            self._query_job(call, self.parts.forwarder.get_job, lambda reply: reply.outcome)
         )
 
     def cancel(self, call: Call) -> asyncio.Task[Any]:
-        """Cancels the job of a call whose id the caller knows."""
+        """Cancels the job of a call if the caller has received its id."""
         return self.tasks.spawn(
-            self._ask(call, self.parts.forwarder.cancel, lambda reply: reply.outcome)
+            self._query_job(call, self.parts.forwarder.cancel, lambda reply: reply.outcome)
         )
 
-    async def _ask(self, call: Call, ask: Callable, outcome_of: Callable) -> Any:
+    async def _query_job(self, call: Call, query: Callable, outcome_of: Callable) -> Any:
         job_id = call.accepted or (call.outcome and call.outcome.job_id)
         if not job_id:
             return None
-        await self.pause.passed()
-        reply = await ask(job_id)
+        await self.pause.wait_until_resumed()
+        reply = await query(job_id)
         if outcome_of(reply) is not None:
             call.outcomes.append(outcome_of(reply))
         if reply.state is JobState.NOT_RUN:
@@ -237,7 +241,7 @@
         return reply
 
 
-def _note_end(call: Call, task: asyncio.Task[None]) -> None:
+def _record_end(call: Call, task: asyncio.Task[None]) -> None:
     if not call.answered:
         call.answered = call.lost = True
     if not task.cancelled() and task.exception() is not None:
--- a/tests/support/workers.py
+++ b/tests/support/workers.py
@@ -1,4 +1,4 @@
-"""Upstreams of a simulated cell: workers that keep the true log, and links with faults to them."""
+"""Upstreams of a simulated cell: workers that log each attempt, and adapters with faults."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,7 +14,7 @@
 from hornbeamramp.standins.worker_model import WorkerModel
 from hornbeamramp.states import Capability, Step, TaskState
 from hornbeamramp.upstreams import StartReply, StartRequest, UpstreamAdapter, UpstreamShape
-from tests.support.runtime import spawn_outside
+from tests.support.runtime import spawn_detached
 
 if TYPE_CHECKING:
     from tests.support.vm import Vm
@@ -22,18 +22,18 @@
 __all__ = ["ALL_CAPABILITIES", "CellWorker", "FaultyUpstream", "UpstreamFaults"]
 
 LATENCY = timedelta(milliseconds=1)
-TIMEOUT = timedelta(seconds=2)
-DUPLICATE_AFTER = timedelta(milliseconds=700)
+CALL_TIMEOUT = timedelta(seconds=2)
+DUPLICATE_DELAY = timedelta(milliseconds=700)
 ALL_CAPABILITIES = frozenset(Capability)
-CAPACITY = Resources(processors_milli=4000, memory_mib=8192, slots=4, connections=16)
+WORKER_CAPACITY = Resources(processors_milli=4000, memory_mib=8192, slots=4, connections=16)
 
 
 @dataclass
 class UpstreamFaults:
-    """Faults between one process and one worker. The counts are those of the next messages.
+    """Faults between one process and one worker. A count is the number of next messages it hits.
 
     `starts_delayed_by`
-        Delay of starts alone; they take effect even after the caller has given up.
+        Delay of starts only; they take effect even after the process has stopped waiting.
     `silent`
         Number of connections that take a request and never deliver it.
     """
@@ -49,18 +49,18 @@
     truncated_answers: int = 0
     silent: int = 0
 
-    def take(self, name: str) -> bool:
-        """Tells whether the fault hits this message and counts it down."""
-        left = getattr(self, name)
-        setattr(self, name, max(left - 1, 0))
-        return left > 0
+    def consume(self, name: str) -> bool:
+        """Returns whether the fault hits this message, and decrements its count."""
+        remaining = getattr(self, name)
+        setattr(self, name, max(remaining - 1, 0))
+        return remaining > 0
 
 
 class CellWorker(WorkerModel):
-    """Worker that refuses no start for lack of room or because it leaves.
+    """Worker that refuses no start for lack of capacity or because it is leaving.
 
-    A real worker would hide an overcommitment or a late start by refusing it; here the log shows
-    both. `payload_by_attempt` adds the payloads to the log.
+    A real worker refuses such a start and so hides an overcommitment or a start on a leaving
+    worker; here the log shows both. `payload_by_attempt` has the payloads, which the log lacks.
     """
 
     def __init__(
@@ -69,7 +69,7 @@
         data_centre: str,
         clock: ManualClock,
         capabilities: frozenset[Capability] = ALL_CAPABILITIES,
-        capacity: Resources = CAPACITY,
+        capacity: Resources = WORKER_CAPACITY,
     ) -> None:
         shape = UpstreamShape(UpstreamId(name), RackId(name), capacity, capabilities=capabilities)
         super().__init__(shape, clock)
@@ -94,7 +94,7 @@
         self.is_up = False
 
     def leave(self) -> None:
-        """Reports itself as leaving."""
+        """Makes the worker report itself as leaving."""
         self.leaving = True
         self.leaving_since = self._clock.boot_time()
 
@@ -106,7 +106,7 @@
 
 
 class FaultyUpstream(UpstreamAdapter):
-    """Adapter of one process to one worker."""
+    """Adapter of one process to one worker, with faults."""
 
     name = "cell"
 
@@ -123,24 +123,24 @@
         return await self._call(Step.RECOVER, self._worker.shape)
 
     async def list_tasks(self):
-        self._vm.cell.took_step(Step.RECOVER, self._vm)
+        self._vm.cell.report_step(Step.RECOVER, self._vm)
         return await self._call(Step.RECOVER, self._worker.list_tasks)
 
     async def start(self, request, *, check=None):
         if check is not None and not check():
             raise UnreachableError(Step.START, self._worker.name, "not the owner", sent=False)
-        self._vm.cell.took_step(Step.START, self._vm)
-        # No await between the check and this: the rest of the way is the network's.
+        self._vm.cell.report_step(Step.START, self._vm)
+        # No await between the check and here: later delays are those of the network.
         not_after = self._clock.boot_time() + request.not_after
         faults = self._faults
 
         def effect() -> StartReply:
             return self._worker.start(request, late=self._clock.boot_time() > not_after)
 
-        if faults.take("duplicate_starts"):
-            spawn_outside(self._again(effect))
-        lose = faults.take("drop_start_replies")
-        return await self._call(Step.START, effect, faults.starts_delayed_by, lose)
+        if faults.consume("duplicate_starts"):
+            spawn_detached(self._repeat_start(effect))
+        lose_reply = faults.consume("drop_start_replies")
+        return await self._call(Step.START, effect, faults.starts_delayed_by, lose_reply)
 
     async def result(self, attempt_id, wait):
         async def effect():
@@ -150,10 +150,10 @@
         answer = await self._call(Step.ANSWER, effect, wait=wait)
         if not isinstance(answer, TaskResult):
             return answer
-        self._vm.cell.took_step(Step.ANSWER, self._vm)
-        if self._faults.take("crossed_answers"):
+        self._vm.cell.report_step(Step.ANSWER, self._vm)
+        if self._faults.consume("crossed_answers"):
             answer = self._worker.other_result(attempt_id) or answer
-        if self._faults.take("truncated_answers"):
+        if self._faults.consume("truncated_answers"):
             payload = answer.payload[:-3]
             answer = TaskResult(
                 answer.attempt_id, answer.upstream_id, payload, answer.length, answer.digest
@@ -186,15 +186,15 @@
         lose_reply: bool = False,
         wait: timedelta = timedelta(0),
     ) -> Any:
-        self._vm.note_call(f"{step.value} at {self._worker.name}")
-        reply = spawn_outside(self._deliver(step, effect, delay, lose_reply))
+        self._vm.record_call(f"{step.value} at {self._worker.name}")
+        reply = spawn_detached(self._deliver(step, effect, delay, lose_reply))
         reply.add_done_callback(lambda done: done.cancelled() or done.exception())
-        expiry = asyncio.ensure_future(self._clock.sleep(TIMEOUT + wait))
+        expiry = asyncio.ensure_future(self._clock.sleep(CALL_TIMEOUT + wait))
         try:
             await asyncio.wait({reply, expiry}, return_when=asyncio.FIRST_COMPLETED)
         finally:
             expiry.cancel()
-        await self._vm.pause.passed()
+        await self._vm.pause.wait_until_resumed()
         if not reply.done():
             raise UnreachableError(step, self._worker.name, "no answer in time")
         return reply.result()
@@ -204,22 +204,22 @@
         if not self._worker.is_up:
             raise UnreachableError(step, self._worker.name, "connection refused", sent=False)
         await self._clock.sleep(LATENCY + faults.delay + delay)
-        if faults.cut or faults.take("drop_requests") or faults.take("silent"):
+        if faults.cut or faults.consume("drop_requests") or faults.consume("silent"):
             await asyncio.Event().wait()
         if not self._worker.is_up:
             raise UnreachableError(step, self._worker.name, "connection reset")
         answer = effect()
         if asyncio.iscoroutine(answer):
             answer = await answer
-        if faults.cut or lose_reply or faults.take("drop_replies"):
+        if faults.cut or lose_reply or faults.consume("drop_replies"):
             await asyncio.Event().wait()
         if not self._worker.is_up:
             raise UnreachableError(step, self._worker.name, "connection reset")
         await self._clock.sleep(LATENCY)
         return answer
 
-    async def _again(self, effect: Callable[[], Any]) -> None:
-        await self._clock.sleep(DUPLICATE_AFTER)
+    async def _repeat_start(self, effect: Callable[[], Any]) -> None:
+        await self._clock.sleep(DUPLICATE_DELAY)
         if self._worker.is_up:
             effect()
 
--- a/tests/test_guarantee_features.py
+++ b/tests/test_guarantee_features.py
@@ -1,4 +1,4 @@
-"""Steps of tests/features/guarantees.feature. The checker runs throughout each scenario."""
+"""Steps of tests/features/guarantees.feature. The guarantees are checked during each scenario."""
 
 import asyncio
 import random
@@ -18,19 +18,19 @@
 
 
 class World:
-    """A cell with the loop it lives in."""
+    """A simulated cell with the event loop that runs it."""
 
     def __init__(self) -> None:
         self.runner = asyncio.Runner()
-        self.cell = self.runner.run(self._begin())
+        self.cell = self.runner.run(self._start_cell())
         self.owner = self.cell.owner_in(HOME)
         self.entry = self.cell.other_vm(self.owner)
         self.revision = 0
 
     @staticmethod
-    async def _begin() -> SimulatedCell:
+    async def _start_cell() -> SimulatedCell:
         cell = SimulatedCell(vm_count=3)
-        await cell.begin()
+        await cell.start()
         return cell
 
     def advance(self, seconds: float) -> None:
@@ -47,7 +47,7 @@
         return [r for r in self.cell.checker.runs() if worker in (None, r.worker)]
 
     def close(self) -> None:
-        self.runner.run(self.cell.end())
+        self.runner.run(self.cell.stop())
         self.runner.close()
 
 
@@ -154,7 +154,7 @@
 
 
 @when("the data centre comes back")
-def come_back(world):
+def reconnect_data_centre(world):
     world.advance(20)
     world.cell.isolate("tuzla", cut=False)
 
--- a/tests/test_guarantees.py
+++ b/tests/test_guarantees.py
@@ -1,6 +1,7 @@
-"""Property test of the guarantees G1 to G8 over a cell of whole entry processes.
+"""Property test of the guarantees G1 to G8 on a simulated cell of complete entry processes.
 
-`HORNBEAMRAMP_EXAMPLES` sets the number of examples (default 80) and lifts the fixed seed.
+`HORNBEAMRAMP_EXAMPLES` sets the number of examples (default 80) and makes Hypothesis
+draw a random seed instead of the fixed one.
 """
 
 import os
@@ -12,7 +13,7 @@
 from tests.support.faults import CAPABILITIES, apply, sequences
 
 EXAMPLES = os.environ.get("HORNBEAMRAMP_EXAMPLES")
-# Time after the last fault in which late messages and recoveries may still break a guarantee.
+# Time after the last fault during which late messages and recoveries are still checked.
 AFTERMATH = 25 * SECOND
 
 
