--- a/hornbeamramp/fleet/base.py
+++ b/hornbeamramp/fleet/base.py
@@ -51,7 +51,7 @@
 
 
 class WorkerListing(msgspec.Struct, frozen=True):
-    """A worker's entry in the list of workers. ``boot_ms`` is new with each start of the worker."""
+    """A worker's entry in the list of workers. ``boot_ms`` changes with each boot of the worker."""
 
     worker: UpstreamId
     pool: PoolName
@@ -102,7 +102,7 @@
 
 
 class HoldReply(msgspec.Struct, frozen=True):
-    """All runs on a worker, and the ended runs that have not been acknowledged."""
+    """All runs in progress on a worker, and the ended runs that it has not been told to forget."""
 
     clock_ms: int
     boot_ms: int
--- a/hornbeamramp/fleet/session.py
+++ b/hornbeamramp/fleet/session.py
@@ -56,10 +56,10 @@
     token: int
 
     def may_order(self) -> bool:
-        """Tells whether orders may be sent: the owner's claim certainly holds now."""
+        """Returns whether orders may be sent: the owner's claim certainly holds now."""
 
     def may_extend(self) -> bool:
-        """Tells whether leases may still be extended, even if the claim may have been lost."""
+        """Returns whether leases may still be extended, even if the claim may have been lost."""
 
     def on_running(self, attempt: Attempt) -> None: ...
 
@@ -125,7 +125,7 @@
 
     @property
     def usable(self) -> bool:
-        """Tells whether new runs may be placed here."""
+        """Returns whether new runs may be placed here."""
         return (
             self.is_listed
             and self.reachable
@@ -195,7 +195,10 @@
         return int(self._worker_clock_ms + (elapsed + RUN_LEASE) / MILLISECOND)
 
     def stop(self, attempt: Attempt) -> None:
-        """Stops a run, or prevents its start. Its capacity is released once a list lacks it."""
+        """Stops a run, or prevents its start.
+
+        Its capacity is released once the worker reports its end or a run list lacks it.
+        """
         if attempt.stop_wanted:
             return
         attempt.stop_wanted = True
@@ -214,8 +217,8 @@
             await self._clock.sleep(RETRY_PAUSE)
 
     async def _fetch_runs(self) -> None:
-        """Requests the run list at once: a pending hold call may wait for an end until it times
-        out, as a run that never started has none."""
+        """Requests the run list without waiting for the pending hold call, which only the end of a
+        run answers early; a run that never started has no end."""
         # One tick later than the stop's answer, which may have the same time stamp; only a list
         # requested after that answer proves that the run is gone.
         requested_at = self._clock.boot_time() + timedelta.resolution
--- a/hornbeamramp/poolowner/advice.py
+++ b/hornbeamramp/poolowner/advice.py
@@ -59,7 +59,8 @@
     ) -> Advice:
         """Returns advice on a step for the given workers. Raises `AdviceUnavailableError`.
 
-        Requests are sent in order of priority and time of arrival, to which ``deferral`` is added.
+        Requests are sent in order of arrival. A lower priority (a higher number) and ``deferral``
+        rank a request as if it had arrived later.
         """
 
 
--- a/hornbeamramp/poolowner/jobs.py
+++ b/hornbeamramp/poolowner/jobs.py
@@ -66,7 +66,7 @@
         self.job = job
         self.key = key
         self.spec = spec
-        # Best-effort tasks use idle processors, so their own are not counted.
+        # Best-effort tasks use processors that others leave idle, so none are reserved for them.
         processors = 0 if spec.fills else spec.processors_milli
         self.size = Resources(processors, spec.memory_mib, spec.accelerators, 0, 0)
         if spec.gang:
--- a/hornbeamramp/poolowner/launch.py
+++ b/hornbeamramp/poolowner/launch.py
@@ -34,9 +34,9 @@
 # Answers to advice requests that take at least this are recorded, so that a successor does not
 # repeat them. For shorter ones, the write costs more than another request.
 MIN_RECORDED_DURATION = timedelta(milliseconds=50)
-# Advice requests are ordered by arrival time plus deferral. The first applies if no free capacity
-# depends on the answer, the second if the job is too late for its caller. Slow requests take about
-# half a second.
+# Deferrals of advice requests, which rank one as if it had arrived later: the first if no free
+# capacity depends on the answer, the second if the job is too late for its caller. Slow requests
+# take about half a second.
 PREFETCH_DEFERRAL = timedelta(milliseconds=500)
 TOO_LATE_DEFERRAL = timedelta(seconds=2)
 # Delay after an advice request that got no answer.
@@ -93,8 +93,8 @@
         self._owner.spawn(self._ask_and_launch(step, queue, sessions, units))
 
     def prefetch_tickets(self, step: StepRun, queue: Queue, sessions: list[WorkerSession]) -> None:
-        """Renews the tickets of a step that waits for capacity, if all of them expire before an
-        answer would arrive."""
+        """Renews the tickets of a step that waits for capacity, unless one of them would still be
+        usable when the answer arrives."""
         assert queue.advice is not None
         duration = queue.advice.base + len(sessions) * queue.advice.per_worker
         answer_expected_at = self._clock.boot_time() + duration
@@ -270,7 +270,7 @@
 
 
 def _deferral(step: StepRun, has_capacity: bool) -> timedelta:
-    """Returns the deferral of an advice request, which is ordered by arrival time plus deferral."""
+    """Returns how much later than its arrival an advice request is ranked."""
     if step.lateness.level is LatenessLevel.TOO_LATE:
         return TOO_LATE_DEFERRAL
     return timedelta(0) if has_capacity else PREFETCH_DEFERRAL
--- a/hornbeamramp/poolowner/lifecycle.py
+++ b/hornbeamramp/poolowner/lifecycle.py
@@ -53,7 +53,8 @@
             instruments.first_start_time.record(wait_s, {"queue": job.record.queue})
 
     def apply_end(self, attempt: Attempt, outcome: RunOutcome, checkpoint: str) -> None:
-        """Applies the end of a run: completes or requeues its unit, and ends the job if due."""
+        """Applies the end of a run: completes its unit or queues it again, and ends the job if all
+        its tasks are done or the unit has failed too often."""
         task: Task = attempt.task
         unit = task.unit
         job = unit.step.job
--- a/hornbeamramp/poolowner/placer.py
+++ b/hornbeamramp/poolowner/placer.py
@@ -29,7 +29,7 @@
 # Steps of a pool that renew their tickets while they wait for capacity. Each uses up to half of one
 # VM's share of the advice service.
 MAX_PREFETCHING_STEPS = 3
-# Tasks of one step for which runs are preempted at a time. With more, victims would be chosen
+# Most tasks of one step for which runs are preempted at a time. With more, victims would be chosen
 # before the worker's next list shows what the earlier stops have freed.
 MAX_TASKS_PER_PREEMPTION = 16
 # Minimum time between two searches for victims for one step; stopped runs end within 200 ms.
--- a/hornbeamramp/poolowner/speeds.py
+++ b/hornbeamramp/poolowner/speeds.py
@@ -38,8 +38,8 @@
         return self.speed(worker) < SUSPECT_SPEED
 
     def duration_ratio(self, step: StepRun) -> float:
-        """Returns the duration of the step's image at the usual speed divided by its estimate; 1.0
-        before the first run."""
+        """Returns the duration of runs of the step's image at the usual speed, divided by their
+        estimate; 1.0 before the first run."""
         return math.exp(-self._log_ratio_by_image.get(_image(step), 0.0))
 
     def record_run(self, attempt: Attempt, elapsed_s: float, fraction: float) -> None:
--- a/hornbeamramp/workload/config.py
+++ b/hornbeamramp/workload/config.py
@@ -61,7 +61,7 @@
 
 
 class ClusterConfig(msgspec.Struct, frozen=True):
-    """One version of the configuration. Version numbers never decrease."""
+    """One version of the configuration. Version numbers only increase."""
 
     version: int
     queue_by_name: dict[RouteName, Queue]
--- a/hornbeamramp/workload/model.py
+++ b/hornbeamramp/workload/model.py
@@ -56,11 +56,12 @@
     `speculative`
         A second copy of a task may run at the same time.
     `long_running`
-        The tasks run until the job is cancelled and are restarted whenever they end.
+        The tasks run until the job is cancelled and are restarted however they end.
     `response_target_ms`
         Target for the tail of the response times of a long-running task in ms; 0 is none.
     `fills`
-        Best-effort tasks, which use processors that others leave idle; their own are not counted.
+        Best-effort tasks: they use processors that others leave idle, and none are reserved for
+        them.
     `max_unavailable`
         Maximum number of tasks of a long-running step that planned work may take down at a time.
     """
