--- a/hornbeamramp/attempt_ends.py
+++ b/hornbeamramp/attempt_ends.py
@@ -160,7 +160,8 @@
                 state.avoid = set()
             state.avoid.add(upstream_id)
         if upstream_id in health.quarantined and not attempt.probe:
-            # Only the end of a probe counts here, but a job that fails here may be faulty.
+            # In quarantine only the end of a probe changes the upstream's health, but a job that
+            # fails there may be faulty.
             if end is TaskEnd.FAILED:
                 health.record_job_failure(upstream_id, job_id)
         elif end is TaskEnd.SUCCEEDED:
--- a/hornbeamramp/attempts.py
+++ b/hornbeamramp/attempts.py
@@ -166,8 +166,9 @@
 
     @staticmethod
     def _end_of_unseen_start(link: UpstreamLink) -> TaskEnd:
-        # With not-after the upstream refuses a start that arrives after its deadline, which has
-        # passed by now. Without it a start delayed for longer than the lease can't be ruled out.
+        # With not-after the upstream refuses a start that arrives after the time in the request,
+        # which has passed by now. Without it, a start that is delayed for longer than the lease
+        # can't be ruled out.
         refuses_late = link.shape is not None and Capability.NOT_AFTER in link.shape.capabilities
         return TaskEnd.NOT_STARTED if refuses_late else TaskEnd.LOST
 
--- a/hornbeamramp/claim.py
+++ b/hornbeamramp/claim.py
@@ -26,7 +26,11 @@
 
 
 class Claimed(msgspec.Struct, frozen=True):
-    """A completed claim. ``fenced`` tells whether every reachable upstream accepted the fence."""
+    """A completed claim.
+
+    `fenced`
+        Whether at least one upstream was reached and every reached one accepted the fence.
+    """
 
     epoch: Epoch
     record: ShardRecord
--- a/hornbeamramp/evidence.py
+++ b/hornbeamramp/evidence.py
@@ -26,8 +26,8 @@
 log = logbook.Logger("owner")
 
 ASK_TIMEOUT = timedelta(milliseconds=500)
-# Minimum wait before a claim that neither a member's approval nor the labelled task lists of all
-# upstreams support.
+# Minimum wait before a claim without evidence: no member has approved it, and not every upstream
+# has answered with a labelled task list.
 WAIT_WITHOUT_EVIDENCE = timedelta(seconds=60)
 
 
@@ -62,7 +62,7 @@
         """Makes the upstreams refuse starts with an epoch lower than ``epoch``.
 
         Returns true if every reachable upstream accepted the fence, false if one of them doesn't
-        support fences or already has a higher one.
+        support fences or already has a higher one, or if none was reached.
         """
         ...
 
@@ -179,7 +179,9 @@
         if not complete:
             if claimable_for < WAIT_WITHOUT_EVIDENCE:
                 return None
-            log.warning("claiming {} after the wait, without task lists of all upstreams", shard)
+            log.warning(
+                "claiming {} after the wait, without labelled task lists of all upstreams", shard
+            )
         highest_epoch = report.highest_epoch if report else Epoch(0)
         return Evidence(must_fence=True, highest_epoch=highest_epoch)
 
@@ -205,7 +207,7 @@
         try:
             return await self._observer.observe(shard)
         except SchedulerError as error:
-            log.warning("could not list the upstreams of {}: {}", shard, error.message)
+            log.warning("could not read the upstream task lists of {}: {}", shard, error.message)
             return None
 
     def _address_of(self, vm: VmId) -> str | None:
--- a/hornbeamramp/lease.py
+++ b/hornbeamramp/lease.py
@@ -56,7 +56,7 @@
 
     @property
     def id(self) -> LeaseId | None:
-        """The current lease, ``None`` until its member record is written."""
+        """The current lease, ``None`` if there is none or its member record is not written yet."""
         return self._granted_id if self._registered else None
 
     @property
--- a/hornbeamramp/membership.py
+++ b/hornbeamramp/membership.py
@@ -37,7 +37,8 @@
 DEAD_AFTER_INTERVALS = 4.5
 # In each round, heartbeats go to this many members of each other data centre.
 REMOTE_PEERS_PER_ROUND = 2
-# A member without a store record is removed after it has been silent for this long.
+# A member without a store record is removed after it has been silent for this long. While this
+# process has no store lease of its own, none is removed.
 FORGET_AFTER = timedelta(seconds=60)
 
 HeartbeatContent = Callable[[], tuple[Revision, dict[ShardId, ShardHeartbeat]]]
@@ -62,8 +63,8 @@
     `lease`
         Lease of its record in the store, ``None`` if there is no record.
     `heard_at`
-        Boot time of this machine at the last heartbeat received, or at which the last heartbeat
-        that the member answered was sent.
+        Boot time of this machine at the last heartbeat received from the member, or at the sending
+        of the last heartbeat that it answered, if later; at first, the time of its discovery.
     """
 
     vm: VmId
@@ -157,7 +158,10 @@
         ]
 
     def known_peers(self) -> frozenset[VmId]:
-        """Returns the other members of this data centre that are registered or not dead."""
+        """Returns the other members of this data centre that are registered or not dead.
+
+        Members without a known peer address are left out.
+        """
         self._refresh_states()
         return frozenset(
             vm
--- a/hornbeamramp/owner.py
+++ b/hornbeamramp/owner.py
@@ -189,7 +189,10 @@
         return await self._outcome_of(record)
 
     def _has_listed_upstream(self) -> bool:
-        """Returns whether any upstream has been listed; without one, every job would be refused."""
+        """Returns whether any upstream has been listed or the recovery has ended.
+
+        Before that, the scheduler has no upstream and would refuse every job.
+        """
         return self._recovered.is_set() or any(link.listed for link in self.link_by_id.values())
 
     async def resolve(self, request: ResolveRequest) -> ResolveReply:
--- a/hornbeamramp/ownership.py
+++ b/hornbeamramp/ownership.py
@@ -396,7 +396,8 @@
     def on_ask_owner(self, request: AskOwnerRequest) -> AskOwnerReply:
         """Tells a candidate whether this process still serves the shard.
 
-        An owner without a valid proof that can't reach the store relinquishes the shard.
+        If this process owns the shard but has no valid proof and can't reach the store, it
+        relinquishes the shard.
         """
         state = self._shard_by_id.get(request.shard)
         if state is not None and state.epoch is not None:
@@ -418,7 +419,8 @@
     def on_promise(self, request: PromiseRequest) -> PromiseReply:
         """Promises an owner not to claim its shards.
 
-        Shards with a conflicting claim, record, promise or barrier are left out.
+        Shards with a conflicting claim, record, promise or barrier are left out, and all shards
+        during the first lease TTL after a start or if the duration exceeds one TTL.
         """
         granted = [
             shard
--- a/hornbeamramp/proofs.py
+++ b/hornbeamramp/proofs.py
@@ -139,7 +139,10 @@
         return set(reply.granted)
 
     async def _is_latest(self, shard: ShardId, epoch: Epoch) -> bool:
-        """Returns whether no upstream that answers shows a higher epoch; false if none answers."""
+        """Returns whether an upstream answers and none shows a higher epoch or fence.
+
+        The fence is checked only if the claim was fenced. True if there is no observer.
+        """
         if self._observer is None:
             return True
         try:
@@ -151,5 +154,5 @@
                 return False
             return shard not in self._fenced or await self._observer.fence(shard, epoch)
         except SchedulerError as error:
-            log.warning("could not list the upstreams of {}: {}", shard, error.message)
+            log.warning("could not read or fence the upstreams of {}: {}", shard, error.message)
             return False
--- a/hornbeamramp/recovery.py
+++ b/hornbeamramp/recovery.py
@@ -68,7 +68,11 @@
             return None
 
     def _is_adoptable(self, job: Job, task: ListedTask) -> bool:
-        """Returns whether an earlier owner started the task and no other attempt of it is known."""
+        """Returns whether to adopt a listed task.
+
+        It must be running or have succeeded under an earlier owner. Of each task of a job only one
+        attempt is adopted, and none of a job that was refused or has ended.
+        """
         if task.labels is None or task.labels.epoch >= self._epoch:
             return False
         if task.state not in (TaskState.RUNNING, TaskState.SUCCEEDED):
--- a/hornbeamramp/shard_state.py
+++ b/hornbeamramp/shard_state.py
@@ -13,7 +13,9 @@
 
 
 class ClaimAttempt(msgspec.Struct):
-    """A claim in progress: its record has been or may be written, its evidence may have expired.
+    """A claim whose record is, or may be, written, but which is not complete.
+
+    To complete it, expired evidence is collected again and the upstreams are fenced.
 
     `previous`
         Record that the claim replaces; the evidence concerns its owner.
