--- a/hornbeamramp/http_client.py
+++ b/hornbeamramp/http_client.py
@@ -170,7 +170,9 @@
             raise RequestFailedError(f"no answer within {limit:.3f} s", state.sent) from error
         except (aiohttp.ClientError, OSError, _DisconnectedError) as error:
             if not state.allowed:
-                raise RequestFailedError("the check before sending failed", state.sent) from error
+                raise RequestFailedError(
+                    "not sent: the check returned false", state.sent
+                ) from error
             self._retire(session)
             raise RequestFailedError(_describe(error), state.sent) from error
         finally:
--- a/hornbeamramp/logs.py
+++ b/hornbeamramp/logs.py
@@ -1,4 +1,4 @@
-"""Log setup: logbook to standard error, as JSON or as text prefixed with the logger's name.
+"""Log setup: logbook to standard error, as JSON or as text with time, level and logger in front.
 
 On a platform that collects standard output, JSON lines are written there without blocking.
 """
--- a/hornbeamramp/platform/decoding.py
+++ b/hornbeamramp/platform/decoding.py
@@ -103,7 +103,8 @@
 
 
 class WireStep(msgspec.Struct, frozen=True, rename="kebab"):
-    """``cpu`` is in thousandths of a core; ``max_per_server`` limits tasks of one occurrence."""
+    """``cpu`` is in thousandths of a core; ``max_per_server`` limits the tasks of one occurrence of
+    the step on each worker."""
 
     count: int = 0
     cpu: int = 0
--- a/hornbeamramp/statestore/claim.py
+++ b/hornbeamramp/statestore/claim.py
@@ -45,7 +45,7 @@
 
 
 class ClaimLostError(Exception):
-    """Another process owns the pool, or the chain key no longer exists."""
+    """Another process owns the pool, the chain key no longer exists, or the lease has ended."""
 
 
 class KeysExistError(Exception):
@@ -96,10 +96,10 @@
         self.failing_since: timedelta | None = None
 
     async def acquire(self) -> bool:
-        """Creates the keys and returns true, or returns false if another process has them.
+        """Creates the keys. Returns false if another process has them or the lease has ended.
 
-        Raises `StoreUnavailableError`; the keys may have been created then, which a repeated call
-        detects.
+        Raises `StoreUnavailableError`; the keys may have been created then. A repeated call detects
+        that and returns true.
         """
         value = msgspec.json.encode(self._record)
         puts = tuple(Put(key, value, self._lease) for key in (self._owner_key, self._key))
--- a/hornbeamramp/tables.py
+++ b/hornbeamramp/tables.py
@@ -104,7 +104,7 @@
 
 
 class TableError(msgspec.Struct, frozen=True):
-    """A change that would leave routes without their pool. ``names`` are these routes."""
+    """Routes whose pool does not exist. ``names`` are these routes, the message names the pools."""
 
     message: str
     names: list[str] = []
--- a/hornbeamramp/vm/caller_service.py
+++ b/hornbeamramp/vm/caller_service.py
@@ -176,8 +176,8 @@
     ) -> tuple[Any, bool]:
         """Returns the owner's reply, and whether an earlier try may have taken effect.
 
-        Retries for ``max_wait``, but no longer than `OWNER_WAIT_TIMEOUT`, nor if this VM becomes
-        isolated. Raises `UnavailableError`.
+        Retries until ``max_wait`` or `OWNER_WAIT_TIMEOUT` has passed or this VM is isolated, and
+        then raises `UnavailableError`.
         """
         clock = self._node.clock
         deadline = clock.boot_time() + max_wait
--- a/hornbeamramp/vm/messages.py
+++ b/hornbeamramp/vm/messages.py
@@ -25,7 +25,11 @@
 
 
 class SubmitJobRequest(msgspec.Struct, frozen=True):
-    """Submits a job to the owner of its queue's pool. ``config_version`` is that of the sender."""
+    """Submits a job to the owner of its queue's pool.
+
+    `config_version`
+        Version of the configuration by which the sender chose the queue and its pool.
+    """
 
     pool: PoolName
     queue: RouteName
@@ -35,8 +39,12 @@
 
 
 class SubmitJobReply(msgspec.Struct, frozen=True):
-    """``refusal`` is empty if the job is recorded. ``is_owner`` is false if the VM does not own the
-    pool and did nothing."""
+    """``refusal`` is empty if the job is recorded.
+
+    `is_owner`
+        False if nothing was done: the VM does not own the pool for certain, or could not read a
+        configuration as new as the sender's.
+    """
 
     is_owner: bool
     refusal: str = ""
--- a/hornbeamramp/vm/node.py
+++ b/hornbeamramp/vm/node.py
@@ -197,7 +197,8 @@
     # Cell
 
     def owner_record(self, pool: PoolName) -> OwnerRecord | None:
-        """Returns the pool's owner as last read from the store, ``None`` if it has none."""
+        """Returns the pool's owner as last read from the store, ``None`` if there is no owner
+        record or it can't be decoded."""
         item = self._cell_cache.item_by_key.get(owner_key(pool))
         return None if item is None else decode_owner(item.value)
 
@@ -270,7 +271,9 @@
                 await self._register()
                 await self._delete_stale_claims()
             except StoreUnavailableError as error:
-                _log.info("store unavailable, registration of this VM delayed: {}", error)
+                _log.info(
+                    "store unavailable, registration of this VM and claims delayed: {}", error
+                )
                 continue
             if self.clock.boot_time() - self._started_at < STARTUP_CLAIM_DELAY:
                 continue
--- a/hornbeamramp/vm/relay.py
+++ b/hornbeamramp/vm/relay.py
@@ -1,4 +1,5 @@
-"""Relays store calls through another VM while the store is unreachable from this VM or refuses it.
+"""Relays store calls through another VM while the store can't be reached from this VM or refuses
+its calls.
 
 A repeated commit is safe, as each is conditional on the one before; see `statestore.claim`.
 """
