--- a/hornbeamramp/admission.py
+++ b/hornbeamramp/admission.py
@@ -57,7 +57,8 @@
     def feasible_size(self, job: Job, flow: Flow, amount: Vector) -> Vector:
         """Returns the estimated size of a task, lowered where the job could not run with it.
 
-        An estimate that fits on no upstream is capped at a machine on which the declared size fits.
+        An estimate that fits on no upstream is limited to the shape of one on which the declared
+        size fits.
         If the job would still exceed its team's limit or, for a gang, the empty pool, the declared
         size is used.
         """
--- a/hornbeamramp/decision_executor.py
+++ b/hornbeamramp/decision_executor.py
@@ -88,7 +88,8 @@
                 self._wake()
 
     async def _send(self, call: Coroutine[Any, Any, Any]) -> None:
-        # A failed call is not retried: the task ends or its lease expires, and both are detected.
+        # A failed call is not retried here: the task ends or its lease expires, and both are
+        # detected.
         try:
             await call
         except (UnreachableError, ProtocolError) as error:
--- a/hornbeamramp/dispatcher.py
+++ b/hornbeamramp/dispatcher.py
@@ -198,9 +198,10 @@
         return not state.is_service and self._holds.gang_count > 0
 
     def _serve(self, state: JobState, first_tier: bool, guaranteed: bool, now: float) -> bool:
-        """Starts tasks of the job, or makes the queue skip it until capacity or quota is free.
+        """Starts tasks of the job or holds capacity for them, unless its deadline has passed.
 
-        Returns false if the only change is that the queue skips the job.
+        If neither is possible, the queue skips the job until capacity or quota is free. Returns
+        false if the only change is that the queue skips the job.
         """
         if state.is_expired(now):
             self._queue.cancel(state)
--- a/hornbeamramp/estimates.py
+++ b/hornbeamramp/estimates.py
@@ -22,7 +22,8 @@
 MIN_RUN_SAMPLES = 3
 # Sizes need more samples than run times: an underestimated size overloads a machine.
 MIN_SIZE_SAMPLES = 8
-# Largest factor between estimate and declaration: the usual ten times, doubled as a margin.
+# Largest factor between an estimate and its declared value. Declared values are off by up to ten
+# times; the rest is margin.
 MAX_DECLARATION_ERROR = 20.0
 PROCESSOR_MARGIN = 1.15
 # Larger than for processors: a task short of processors runs slower, one short of memory is killed.
@@ -70,7 +71,11 @@
 
 
 class Estimates:
-    """Estimates by route and team. A team with too few run times gets the estimate of its route."""
+    """Estimates by route and team.
+
+    For a team with too few run times, the run time is estimated from those of all teams on the
+    route. Sizes are learned from the team's own samples only; with too few, they are as declared.
+    """
 
     def __init__(self) -> None:
         self._by_team: dict[tuple[RouteName, TeamId], _Samples] = {}
--- a/hornbeamramp/flows.py
+++ b/hornbeamramp/flows.py
@@ -61,7 +61,7 @@
     """A team in a band.
 
     `share`, `recent`
-        Dominant share of the pool in use now, and its exponentially decaying average.
+        Dominant share of the pool in use now, and its exponential moving average.
     """
 
     __slots__ = (
@@ -121,7 +121,8 @@
     `stopping`
         Share of tasks that were told to stop.
     `excess`
-        Share in use beyond the claim without stopping tasks, for bands that may be preempted.
+        Share in use beyond the claim, not counting tasks that were told to stop. Only for bands
+        that may be preempted.
     """
 
     __slots__ = ("excess", "mean", "queued", "share", "stopping", "variance")
@@ -231,7 +232,7 @@
         return beyond and self.route_use.exceeds_claim()
 
     def flooding(self) -> bool:
-        """Tells whether the flow is backlogged with more than a burst."""
+        """Tells whether the flow is backlogged and its route's work is not within `BURST_SHARE`."""
         return self.backlogged() and not self.bursting()
 
     def bursting(self) -> bool:
--- a/hornbeamramp/holds.py
+++ b/hornbeamramp/holds.py
@@ -16,7 +16,7 @@
     `start_at`
         When the tasks are expected to start; work that ends before then may use the capacity.
     `expires_at`
-        When the hold is released although its tasks have not started.
+        When the hold is released if its tasks have not started by then.
     """
 
     __slots__ = (
--- a/hornbeamramp/policies/__init__.py
+++ b/hornbeamramp/policies/__init__.py
@@ -1,6 +1,7 @@
 """Placement policies, which choose the upstreams for the tasks of a job.
 
-`PlacementPolicy` is their interface; `POLICIES` looks a policy up by the name in a pool's row.
+`PlacementPolicy` is their interface; `POLICIES` looks up a policy by the name in a pool's
+configuration.
 """
 
 from hornbeamramp.plugins import Registry
--- a/hornbeamramp/policies/batch.py
+++ b/hornbeamramp/policies/batch.py
@@ -13,8 +13,8 @@
 def place(request: PlacementRequest, index: CapacityIndex) -> list[UpstreamId] | None:
     """Returns the fastest upstream on which the task fits; among equal speeds, the tightest fit.
 
-    The tightest fit leaves large blocks of free capacity for gangs. Tasks that need no accelerator
-    are placed on upstreams with accelerators last.
+    The tightest fit leaves large blocks of free capacity for gangs. For tasks that need no
+    accelerator, upstreams without accelerators are preferred, even to faster ones.
     """
     view, amount, avoid = index.by_speed, request.amount, request.avoid
     best: UpstreamId | None = None
--- a/hornbeamramp/policies/service.py
+++ b/hornbeamramp/policies/service.py
@@ -14,8 +14,8 @@
     """Returns an upstream in the rack with the fewest tasks of the service.
 
     Chooses the first rack without any; the search starts behind the rack used last, at
-    ``request.rack_search_start``, and wraps around. Tasks that need no accelerator are placed on
-    upstreams without accelerators first.
+    ``request.rack_search_start``, and wraps around. For tasks that need no accelerator, upstreams
+    without accelerators are preferred.
     """
     view, amount = index.by_rack, request.amount
     best: UpstreamId | None = None
--- a/hornbeamramp/preemption.py
+++ b/hornbeamramp/preemption.py
@@ -16,7 +16,7 @@
 
 __all__ = ["FailedSearches", "Plan", "plan_tasks", "plan_upstream"]
 
-# Upstreams compared in a search, beside two for each urgent task.
+# Upstreams compared in a search, in addition to two for each urgent task.
 BASE_CANDIDATES = 16
 # Cost of a checkpoint as run time of the task. A task that ran for less is stopped instead.
 CHECKPOINT_COST_S = 2.0
@@ -69,7 +69,7 @@
         return self._paused_until.get((state.flow.route_use, state.amount), 0.0) > now
 
     def record_failure(self, state: JobState, now: float) -> None:
-        """Pauses searches for tasks like those of the job."""
+        """Pauses searches for tasks like those of the job after one that found no capacity."""
         if len(self._paused_until) >= MAX_PAUSES:
             self._paused_until.clear()
         self._paused_until[state.flow.route_use, state.amount] = now + SEARCH_PAUSE_S
--- a/hornbeamramp/reservations.py
+++ b/hornbeamramp/reservations.py
@@ -19,8 +19,8 @@
     """Returns when and on which upstreams tasks of the job will fit, earliest first.
 
     Each entry is for one task: the boot time in seconds, a sequence number that breaks ties, and
-    the upstream. The number of upstreams compared is proportional to ``count`` and does not depend
-    on the size of the pool.
+    the upstream. The number of upstreams compared grows with ``count``, not with the size of the
+    pool.
     """
     amount = state.amount
     found: dict[UpstreamId, None] = {}
--- a/hornbeamramp/scheduler.py
+++ b/hornbeamramp/scheduler.py
@@ -41,7 +41,7 @@
 
 FIRST_EPOCH = Epoch(1)
 NO_QUOTA = Quota()
-# Usage reports that come earlier after a throttle may still show the use before it.
+# Time after a throttle in which usage reports may still show the use before it.
 USAGE_LAG_S = 1.0
 # Interval at which idle flows are removed.
 PRUNE_INTERVAL_S = 10.0
@@ -307,7 +307,11 @@
         return self._ends.end(attempt, end, usage, now)
 
     def report_usage(self, attempt_id: AttemptId, usage: Resources) -> None:
-        """Reports the measured use of a running attempt. Raises its reservation to it."""
+        """Reports the measured use of a running attempt.
+
+        Raises the reservation to this use where it is larger. While a throttle is pending, a report
+        instead shows whether the throttle took effect.
+        """
         attempt = self._tasks.attempt_by_id.get(attempt_id)
         if attempt is None:
             return
--- a/hornbeamramp/shares.py
+++ b/hornbeamramp/shares.py
@@ -150,11 +150,16 @@
             self._accelerator_demand.update_capped(flow.accelerators)
 
     def headroom(self, flow: Flow) -> float:
-        """Returns the share of the pool that the flow must leave free for others' demand."""
+        """Returns the share of the pool to leave free for the learned demand of other flows."""
         return self._host_demand.headroom(flow.host)
 
     def first_tier(self, flow: Flow, amount: Vector) -> bool:
-        """Tells whether another task of this size is first tier: within the claim or a burst."""
+        """Tells whether another task of this size is first tier.
+
+        It is if the route's work is within `BURST_SHARE`, or if the flow stays within its claim.
+        Urgent work may exceed the claim of its route, up to `BURST_SHARE`, by as much as less
+        urgent work exceeds its own.
+        """
         if flow.bursting():
             return True
         band = flow.account.band
@@ -240,7 +245,10 @@
         return own + self._accelerator_demand.demand_of_others(flow.accelerators) <= 1.0 + TOLERANCE
 
     def prune(self, now: float) -> None:
-        """Removes flows without use, unfinished jobs or demand, and rounding errors of the sums."""
+        """Removes flows and accounts that are not used, and rounding errors of the sums.
+
+        A flow is removed if it has no use, no unfinished jobs and a claim below ``MIN_SHARE``.
+        """
         for key, flow in list(self.flow_by_key.items()):
             self.observe(flow, now)
             if not flow.unfinished_jobs and not any(flow.used) and flow.claim() < MIN_SHARE:
--- a/hornbeamramp/upstreams/http.py
+++ b/hornbeamramp/upstreams/http.py
@@ -205,7 +205,8 @@
         return reply
 
     async def _get_offset_ms(self) -> int:
-        # Regular calls refresh the offset after `OFFSET_REFRESH_MS`; without any, it is queried.
+        # Regular calls refresh the offset after `OFFSET_REFRESH_MS`. If it is more than twice as
+        # old, there were none, and it is queried.
         age_ms = self._boot_ms() - self._offset_measured_ms
         if self._offset_ms is None or age_ms > 2 * OFFSET_REFRESH_MS:
             await self.shape()
