--- a/hornbeamramp/estimates.py
+++ b/hornbeamramp/estimates.py
@@ -20,7 +20,7 @@
 MAX_SAMPLES = 32
 # With fewer samples, the median is blended with the declared value.
 MIN_RUN_SAMPLES = 3
-# Sizes need more samples than run times: an underestimated size overloads a machine.
+# Sizes need more samples than run times: an underestimated size overloads an upstream.
 MIN_SIZE_SAMPLES = 8
 # Largest factor between an estimate and its declared value. Declared values are off by up to ten
 # times; the rest is margin.
--- a/hornbeamramp/ledger.py
+++ b/hornbeamramp/ledger.py
@@ -79,8 +79,8 @@
     """Allocated capacity by upstream.
 
     The sum of reservations on an upstream never exceeds its capacity in any resource, except where
-    recovery finds a machine already overcommitted (`reserve_unchecked`); its free capacity is then
-    zero. ``on_change`` is called with the id of each upstream whose free capacity changed.
+    recovery finds an upstream already overcommitted (`reserve_unchecked`); its free capacity is
+    then zero. ``on_change`` is called with the id of each upstream whose free capacity changed.
     """
 
     def __init__(self, on_change: Callable[[UpstreamId], None] | None = None) -> None:
@@ -149,7 +149,7 @@
     def reserve_unchecked(
         self, upstream_id: UpstreamId, attempt_id: AttemptId, resources: Resources
     ) -> Result[Reservation, str]:
-        """Reserves what an attempt already uses on the machine, even beyond its capacity."""
+        """Reserves what an attempt already uses on the upstream, even beyond its capacity."""
         allocation = self._allocation_by_id.get(upstream_id)
         if allocation is None:
             return Err(f"no such upstream: {upstream_id}")
